--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,7 @@
 	.venv/bin/tamarindfold rehearse examples/bad-day.yaml --out $(OUT)
 
 lint: .venv/.ready
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
 	.venv/bin/mypy
 	.venv/bin/lint-imports --no-cache --no-logo
--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -74,11 +74,16 @@
     for standing in (1_000, 10_000, 100_000):
         wheel, kept = run(TimerWheel(0.0), standing, 200_000)
         heap, kept_by_heap = run(Heap(), standing, 200_000)
-        result[str(standing)] = {"wheel_us": round(wheel, 2), "heap_us": round(heap, 2),
-                                 "time_ratio": round(wheel / heap, 2),
-                                 "entries_ratio": round(kept / kept_by_heap, 2)}
-        print(f"{standing} standing: wheel {wheel:.2f} us, {kept} entries; "
-              f"heap {heap:.2f} us, {kept_by_heap} entries")
+        result[str(standing)] = {
+            "wheel_us": round(wheel, 2),
+            "heap_us": round(heap, 2),
+            "time_ratio": round(wheel / heap, 2),
+            "entries_ratio": round(kept / kept_by_heap, 2),
+        }
+        print(
+            f"{standing} standing: wheel {wheel:.2f} us, {kept} entries; "
+            f"heap {heap:.2f} us, {kept_by_heap} entries"
+        )
     if args.json:
         print(msgspec.json.encode(result).decode())
 
--- a/tamarindfold/agreement/consensus.py
+++ b/tamarindfold/agreement/consensus.py
@@ -122,7 +122,7 @@
     promised: Ballot
 
 
-Said = (Ask | Word | Prepare | Promise | Accept | Accepted | Beat | Here | Lack | Fill | Turned)
+Said = Ask | Word | Prepare | Promise | Accept | Accepted | Beat | Here | Lack | Fill | Turned
 
 
 class Send(Struct, frozen=True):
@@ -289,9 +289,12 @@
             elif now >= self.next_at:
                 self.next_at = now + BEAT_MS
                 for other in self.others:
-                    self._send(other, Accept(self.ballot, self.proposal, self.number)
-                               if self.proposal is not None and other not in self.takers
-                               else Beat(self.ballot, self.number))
+                    self._send(
+                        other,
+                        Accept(self.ballot, self.proposal, self.number)
+                        if self.proposal is not None and other not in self.takers
+                        else Beat(self.ballot, self.number),
+                    )
         elif now >= self.due:
             self._stand(now)
         return self.actions
@@ -331,8 +334,11 @@
             self._send(most, Lack(self.number))
             return
         self.promised = max([self.promised, *(word.promised for word in self.words.values())])
-        votes = [v for v in (self.vote, *(word.vote for word in self.words.values()))
-                 if v is not None and v.entry.number == self.number + 1]
+        votes = [
+            v
+            for v in (self.vote, *(word.vote for word in self.words.values()))
+            if v is not None and v.entry.number == self.number + 1
+        ]
         self.vote = max(votes, key=lambda v: v.ballot, default=None)
         self.proven = True
         self.leader_at, self.due = now, now + self._patience()
@@ -363,8 +369,11 @@
 
     def _prepare(self, now: float, sender: int, ballot: Ballot) -> None:
         # guards a leader that is well against one whose link to it is cut
-        loyal = self._followed(now) if self.leads else (
-            self.leader >= 0 and self.leader != sender and now - self.leader_at < ELECT_MS)
+        loyal = (
+            self._followed(now)
+            if self.leads
+            else (self.leader >= 0 and self.leader != sender and now - self.leader_at < ELECT_MS)
+        )
         if ballot <= self.promised or loyal:
             self._send(sender, Turned(self.promised))
             return
@@ -387,8 +396,11 @@
         if self.promises[most].number > self.number:
             self._send(most, Lack(self.number))  # chosen already: to be known before anything is proposed
             return
-        votes = [p.vote for p in self.promises.values()
-                 if p.vote is not None and p.vote.entry.number == self.number + 1]
+        votes = [
+            p.vote
+            for p in self.promises.values()
+            if p.vote is not None and p.vote.entry.number == self.number + 1
+        ]
         self.role, self.leader, self.leader_at = "leader", self.me, now
         self.heard = dict.fromkeys(self.others, now)
         self.next_at = now
@@ -521,7 +533,8 @@
     def _save(self, chosen: tuple[Entry, ...] = (), state: bytes = b"") -> None:
         last = self.actions[-1] if self.actions else None
         if isinstance(last, Save) and not state:  # nothing was said in between: one turn of the disk does
-            self.actions[-1] = replace(last, promised=self.promised, vote=self.vote,
-                                       chosen=last.chosen + chosen)
+            self.actions[-1] = replace(
+                last, promised=self.promised, vote=self.vote, chosen=last.chosen + chosen
+            )
             return
         self.actions.append(Save(self.promised, self.vote, chosen, state))
--- a/tamarindfold/agreement/document.py
+++ b/tamarindfold/agreement/document.py
@@ -16,8 +16,23 @@
 
 from tamarindfold.config import derive
 from tamarindfold.config.model import (
-    ClassConfig, Count, CounterConfig, Customers, Fleet, GatewayConfig, Instance, InstanceConfig,
-    Introspection, Ms, OwnConfig, Part, PlanConfig, Route, Safety, Section, Server,
+    ClassConfig,
+    Count,
+    CounterConfig,
+    Customers,
+    Fleet,
+    GatewayConfig,
+    Instance,
+    InstanceConfig,
+    Introspection,
+    Ms,
+    OwnConfig,
+    Part,
+    PlanConfig,
+    Route,
+    Safety,
+    Section,
+    Server,
 )
 
 LEASE_PART = 0.75  # of the window; the rest is for drift of the clocks and for taking a change up
@@ -85,7 +100,7 @@
     """ValueError where a running instance that holds the old could not go over to the new."""
     for what in ("classes", "plans"):
         had, has = ([part.name for part in getattr(document, what)] for document in (old, new))
-        if has[:len(had)] != had:
+        if has[: len(had)] != had:
             raise ValueError(f"{what}: {', '.join(had)} keep their places; new ones follow")
     if bool(old.fleet.feed) != bool(new.fleet.feed):
         raise ValueError("fleet: a running instance does not change between a feed and a list")
@@ -128,32 +143,50 @@
 
 def _servers(a: list[Server], b: list[Server]) -> list[Server]:
     """The union of the drains: what either does not list as ready gets nothing new."""
-    return [replace(one, state="ready" if other and (one.state, other.state) == ("ready", "ready")
-                    else "draining") for one, other in _pairs(a, b, "address")]
+    return [
+        replace(
+            one, state="ready" if other and (one.state, other.state) == ("ready", "ready") else "draining"
+        )
+        for one, other in _pairs(a, b, "address")
+    ]
 
 
 def _two(a: Document, b: Document) -> Document:
     safe_a, safe_b = a.safety, b.safety
     most_units = min(a.customers.most_units, b.customers.most_units)
-    routes = [replace(one, scope=" ".join(sorted({*one.scope.split(), *other.scope.split()}))
-                      if one.scope != other.scope else one.scope, led_only=one.led_only or other.led_only)
-              for one, other in _pairs(a.routes, b.routes, "method", "path", "cls") if other is not None]
+    routes = [
+        replace(
+            one,
+            scope=" ".join(sorted({*one.scope.split(), *other.scope.split()}))
+            if one.scope != other.scope
+            else one.scope,
+            led_only=one.led_only or other.led_only,
+        )
+        for one, other in _pairs(a.routes, b.routes, "method", "path", "cls")
+        if other is not None
+    ]
     return replace(
-        a, classes=[_class(one, other) for one, other in _pairs(a.classes, b.classes, "name")],
-        plans=[_plan(one, other) for one, other in _pairs(a.plans, b.plans, "name")], routes=routes,
+        a,
+        classes=[_class(one, other) for one, other in _pairs(a.classes, b.classes, "name")],
+        plans=[_plan(one, other) for one, other in _pairs(a.plans, b.plans, "name")],
+        routes=routes,
         fleet=replace(a.fleet, static=_servers(a.fleet.static, b.fleet.static)),
-        customers=replace(a.customers, most_units=most_units,
-                          default_units=min(a.customers.default_units, most_units)),
+        customers=replace(
+            a.customers, most_units=most_units, default_units=min(a.customers.default_units, most_units)
+        ),
         safety=replace(
-            safe_a, start_capacity=min(safe_a.start_capacity, safe_b.start_capacity),
+            safe_a,
+            start_capacity=min(safe_a.start_capacity, safe_b.start_capacity),
             cold_ms=max(safe_a.cold_ms, safe_b.cold_ms),
             overload_ms=min(safe_a.overload_ms, safe_b.overload_ms),
             fall_multiple=min(safe_a.fall_multiple, safe_b.fall_multiple),
             drain_grace_ms=min(safe_a.drain_grace_ms, safe_b.drain_grace_ms),
-            answer_grace_ms=min(safe_a.answer_grace_ms, safe_b.answer_grace_ms)),
+            answer_grace_ms=min(safe_a.answer_grace_ms, safe_b.answer_grace_ms),
+        ),
         # totals that are counted in two places let a quota pass twice: nobody counts meanwhile
         counter=a.counter if a.counter == b.counter else None,
-        max_attempts=min(a.max_attempts, b.max_attempts))
+        max_attempts=min(a.max_attempts, b.max_attempts),
+    )
 
 
 def narrowest(documents: Sequence[Document]) -> Document:
@@ -200,8 +233,12 @@
                 walk(part, f"{place}.{key}" if place else key)
         elif isinstance(value, list) and value and isinstance(value[0], dict):
             for i, part in enumerate(value):
-                key = part.get("name") or part.get("address") or " ".join(
-                    str(part[k]) for k in ("method", "path") if k in part) or i
+                key = (
+                    part.get("name")
+                    or part.get("address")
+                    or " ".join(str(part[k]) for k in ("method", "path") if k in part)
+                    or i
+                )
                 walk(part, f"{place}[{key}]")
         else:
             out[place] = value
@@ -213,6 +250,8 @@
 def differences(old: Document, new: Document) -> list[str]:
     """Lines that say what changed."""
     before, after = flat(old), flat(new)
-    return [f"{place}: {before.get(place, '(none)')} -> {after.get(place, '(none)')}"
-            for place in dict.fromkeys([*before, *after]) if before.get(place) != after.get(place)]
-
+    return [
+        f"{place}: {before.get(place, '(none)')} -> {after.get(place, '(none)')}"
+        for place in dict.fromkeys([*before, *after])
+        if before.get(place) != after.get(place)
+    ]
--- a/tamarindfold/agreement/driver.py
+++ b/tamarindfold/agreement/driver.py
@@ -91,22 +91,36 @@
 class Agreement:
     """What is agreed, as one instance follows it. `changed` is called whenever what to act on may differ."""
 
-    def __init__(self, name: str, keepers: list[tuple[str, int]], key: Ed25519PublicKey, folder: Path | None,
-                 source_address: str, changed: Callable[[], None], log: Callable[..., None],
-                 zone: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        keepers: list[tuple[str, int]],
+        key: Ed25519PublicKey,
+        folder: Path | None,
+        source_address: str,
+        changed: Callable[[], None],
+        log: Callable[..., None],
+        zone: int = 0,
+    ) -> None:
         """OSError or Taken where the folder can't be had."""
         self.name, self.key, self.changed, self.log = name, key, changed, log
         life = uuid.uuid4().hex
         self.folder = Folder(folder, life) if folder is not None else None
         self.lease = Lease(life, name, len(keepers), self.folder.replaces if self.folder else "", zone)
         self.followers = [
-            Follower(Link(address, CONNECT_S, Backoff(LEAST_PAUSE_S, MOST_PAUSE_S), source_address),
-                     partial(self._talk, k), self._lost) for k, address in enumerate(keepers)]
+            Follower(
+                Link(address, CONNECT_S, Backoff(LEAST_PAUSE_S, MOST_PAUSE_S), source_address),
+                partial(self._talk, k),
+                self._lost,
+            )
+            for k, address in enumerate(keepers)
+        ]
         self.to_save = Event()
         self.hindrance = ""
         self.strange: set[int] = set()  # keepers of another past
         self.counts = dict.fromkeys(
-            ("answers", "changes", "lost", "bad", "other_past", "not_saved", "unled"), 0)
+            ("answers", "changes", "lost", "bad", "other_past", "not_saved", "unled"), 0
+        )
         self.greenlets: list[gevent.Greenlet] = []
 
     def start(self) -> None:
@@ -194,8 +208,9 @@
         if answer.other_past:
             self.counts["other_past"] += 1
             if keeper not in self.strange:  # told once, not with every answer
-                self.log("agreement.other_past", keeper=keeper, number=answer.number,
-                         held=self.lease.state.number)
+                self.log(
+                    "agreement.other_past", keeper=keeper, number=answer.number, held=self.lease.state.number
+                )
             self.strange.add(keeper)
         else:
             self.strange.discard(keeper)
--- a/tamarindfold/agreement/lease.py
+++ b/tamarindfold/agreement/lease.py
@@ -85,9 +85,20 @@
         """The next question to any keeper."""
         member = self.state.members.get(self.life)
         wants = "leave" if self.leaving else "stay" if member is not None else "join"
-        return Renew(self.life, self.name, self.state.number, self.state.chain, now, wait_ms, self.ready,
-                     self.cannot, wants, self.replaces, self.zone,
-                     max(0.0, self.until(now) - now) if self.led else 0.0)
+        return Renew(
+            self.life,
+            self.name,
+            self.state.number,
+            self.state.chain,
+            now,
+            wait_ms,
+            self.ready,
+            self.cannot,
+            wants,
+            self.replaces,
+            self.zone,
+            max(0.0, self.until(now) - now) if self.led else 0.0,
+        )
 
     def answered(self, keeper: int, answer: Renewed) -> bool:
         """Take in an answer; whether the state changed. ValueError where the news do not follow."""
@@ -167,8 +178,15 @@
         assert document is not None
         self.led, self.restored, self.led_until = True, False, self.until(now)
         self.share, self.place = state.share, (member.index, member.number)
-        return Acting(document, state.version, state.share, state.gateways(state.share), member.index, True,
-                      member.number)
+        return Acting(
+            document,
+            state.version,
+            state.share,
+            state.gateways(state.share),
+            member.index,
+            True,
+            member.number,
+        )
 
     def _kept(self, member: Member | None) -> tuple[float, int]:
         """Share and index without a lease: what it had, but for what it says that it has taken up since."""
@@ -191,7 +209,13 @@
         gateways = state.gateways(share) if share else 1
         if long_ago or index >= gateways:  # no place of its own: spread by its name
             index = int.from_bytes(self.life.encode()[:8], "big") % gateways
-        why = ("can't apply what is in force: " + self.unfit[state.version] if self.cannot_apply else
-               "leaving" if self.leaving else "no place yet" if member is None or not member.acting else
-               "no majority of keepers answers")
+        why = (
+            "can't apply what is in force: " + self.unfit[state.version]
+            if self.cannot_apply
+            else "leaving"
+            if self.leaving
+            else "no place yet"
+            if member is None or not member.acting
+            else "no majority of keepers answers"
+        )
         return Acting(document, state.version, share, gateways, index, False, 0, why)
--- a/tamarindfold/agreement/log.py
+++ b/tamarindfold/agreement/log.py
@@ -27,8 +27,9 @@
     @property
     def chain(self) -> bytes:
         """The hash over this entry and all before it."""
-        return hashlib.blake2b(self.past + self.number.to_bytes(8, "big") + self.body,
-                               digest_size=CHAIN_BYTES).digest()
+        return hashlib.blake2b(
+            self.past + self.number.to_bytes(8, "big") + self.body, digest_size=CHAIN_BYTES
+        ).digest()
 
 
 class _Body(Struct, frozen=True, tag=True):
--- a/tamarindfold/agreement/operator.py
+++ b/tamarindfold/agreement/operator.py
@@ -37,8 +37,9 @@
         try:
             with socket.create_connection((host, port), timeout=CALL_S) as sock:
                 reader = ResponseReader(wire.BODY_BYTES)
-                status, answer = ask(sock, reader, "POST", path, f"{host}:{port}", body,
-                                     [(b"connection", b"close")])
+                status, answer = ask(
+                    sock, reader, "POST", path, f"{host}:{port}", body, [(b"connection", b"close")]
+                )
         except (OSError, BadResponse) as error:
             raise NoAnswer(f"keeper {keeper} at {host}:{port}: {error}") from None
         if status != 200:
@@ -64,7 +65,8 @@
         """What the keeper sees that knows most; the leader's word goes first."""
         looks = self.looks()
         return next((look for look in looks if look.leader == look.keeper and look.proven), None) or max(
-            looks, key=lambda look: decode(look.state).number)
+            looks, key=lambda look: decode(look.state).number
+        )
 
     def tell(self, what: wire.Propose | wire.Command, seconds: float) -> wire.Told:
         """Have the leader do something; NoAnswer where it can't be known in time what came of it."""
--- a/tamarindfold/agreement/reports.py
+++ b/tamarindfold/agreement/reports.py
@@ -50,8 +50,10 @@
 
     def aged(self, now: float, lives: Iterable[str]) -> list[Report]:
         """The reports of these, each with its age."""
-        return [msgspec.structs.replace(report, age_ms=now - at)
-                for at, report in (self.known[life] for life in lives if life in self.known)]
+        return [
+            msgspec.structs.replace(report, age_ms=now - at)
+            for at, report in (self.known[life] for life in lives if life in self.known)
+        ]
 
     def news(self, now: float) -> bytes:
         """What the leader has not been told yet."""
@@ -61,8 +63,9 @@
 
     def forget(self, now: float, places: Collection[str]) -> None:
         """Let go of who has no place and has not been heard for long."""
-        for life in [life for life, (at, _) in self.known.items()
-                     if life not in places and now - at > FORGET_MS]:
+        for life in [
+            life for life, (at, _) in self.known.items() if life not in places and now - at > FORGET_MS
+        ]:
             del self.known[life]
             self.fresh.pop(life, None)
 
--- a/tamarindfold/agreement/state.py
+++ b/tamarindfold/agreement/state.py
@@ -16,8 +16,21 @@
 from tamarindfold.agreement import document as documents
 from tamarindfold.agreement.document import LEAST_PART, Document, Terms
 from tamarindfold.agreement.log import (
-    BEGINNING, Begun, Body, Dropped, Entry, Floored, InForce, Joined, JointBegan, Left, Lost, Newcomer,
-    Proposed, Settled, read,
+    BEGINNING,
+    Begun,
+    Body,
+    Dropped,
+    Entry,
+    Floored,
+    InForce,
+    Joined,
+    JointBegan,
+    Left,
+    Lost,
+    Newcomer,
+    Proposed,
+    Settled,
+    read,
 )
 
 MOST_QUEUED = 16  # versions on their way
@@ -178,8 +191,9 @@
         if other is not None and other.life not in (newcomer.life, newcomer.replaces):
             return f"another process lives under the name {newcomer.name}"
         places = len(self.members) + sum(life not in self.members for life in self.held)
-        places -= sum(life in self.members or life in self.held
-                      for life in {newcomer.replaces, newcomer.life})
+        places -= sum(
+            life in self.members or life in self.held for life in {newcomer.replaces, newcomer.life}
+        )
         if places >= self.terms.most_instances:
             return f"terms.most_instances: {places} have places or are away with a share"
         return ""
@@ -196,8 +210,10 @@
             case Proposed():
                 version = max([n.version for n in self.notes[-1:]], default=0) + 1
                 self.queue.append(Pending(version, body.document, body.first, body.forced))
-                self.notes = [*self.notes, Note(version, self.number, body.author, body.reason, body.at_ms,
-                                                body.token)][-KEPT_NOTES:]
+                self.notes = [
+                    *self.notes,
+                    Note(version, self.number, body.author, body.reason, body.at_ms, body.token),
+                ][-KEPT_NOTES:]
             case JointBegan():
                 self.phase, self.phase_number = "joint", self.number
             case Begun():
@@ -291,8 +307,14 @@
 
     def lowest_known(self, new: Document) -> float:
         """To what part of what a lost instance may act on a version would lower a sum; 1: it lowers none."""
-        return min((documents.lowered(self.documents[held.version], new) for held in self.held.values()
-                    if held.version in self.documents), default=1.0)
+        return min(
+            (
+                documents.lowered(self.documents[held.version], new)
+                for held in self.held.values()
+                if held.version in self.documents
+            ),
+            default=1.0,
+        )
 
     def bearable(self, new: Document) -> bool:
         """Whether the lost ones' shares stay within the whole under this version."""
@@ -324,5 +346,11 @@
 
 def summary(state: State) -> dict[str, Any]:
     """The figures that go into the log."""
-    return {"number": state.number, "version": state.version, "members": len(state.members),
-            "away": len(state.held), "share": round(state.share, 6), "queued": len(state.queue)}
+    return {
+        "number": state.number,
+        "version": state.version,
+        "members": len(state.members),
+        "away": len(state.held),
+        "share": round(state.share, 6),
+        "queued": len(state.queue),
+    }
--- a/tamarindfold/agreement/steward.py
+++ b/tamarindfold/agreement/steward.py
@@ -9,7 +9,17 @@
 
 from tamarindfold.agreement import document as documents
 from tamarindfold.agreement.log import (
-    Begun, Body, Dropped, Floored, InForce, Joined, JointBegan, Left, Lost, Newcomer, Settled,
+    Begun,
+    Body,
+    Dropped,
+    Floored,
+    InForce,
+    Joined,
+    JointBegan,
+    Left,
+    Lost,
+    Newcomer,
+    Settled,
 )
 from tamarindfold.agreement.reports import Report, Reports
 from tamarindfold.agreement.state import Held, Pending, State
@@ -62,8 +72,11 @@
 
     def _roster(self, now: float, state: State) -> Body | None:
         seen = list(self.reports.known.items())
-        leaving = tuple(life for life, (_, report) in seen
-                        if report.wants == "leave" and (life in state.members or life in state.held))
+        leaving = tuple(
+            life
+            for life, (_, report) in seen
+            if report.wants == "leave" and (life in state.members or life in state.held)
+        )
         if leaving:
             return Left(leaving)
         newcomers = self._newcomers(now, state, [report for _, (_, report) in seen])
@@ -71,8 +84,7 @@
             return Joined(newcomers)
         silent_ms = state.terms.window_ms
         if now - self.began > silent_ms:
-            lost = [m for m in state.members.values()
-                    if self.reports.heard_ago(now, m.life) > silent_ms]
+            lost = [m for m in state.members.values() if self.reports.heard_ago(now, m.life) > silent_ms]
             if lost:
                 return Lost(tuple(m.life for m in lost), tuple(self._knew(state, m.life) for m in lost))
         if floored := tuple(life for life, held in state.held.items() if self._is_floored(now, state, held)):
@@ -85,12 +97,19 @@
         silent_ms = state.terms.window_ms
         found: list[Newcomer] = []
         for report in seen:
-            if (report.wants == "join" and report.life not in state.members and state.document is not None
-                    and self.reports.heard_ago(now, report.life) < silent_ms):
+            if (
+                report.wants == "join"
+                and report.life not in state.members
+                and state.document is not None
+                and self.reports.heard_ago(now, report.life) < silent_ms
+            ):
                 newcomer = Newcomer(report.name, report.life, report.replaces, report.zone)
                 room = state.terms.most_instances - len(state.members) - len(state.held)
-                if (not state.hindrance(newcomer) and len(found) < max(1, room)
-                        and report.name not in [n.name for n in found]):
+                if (
+                    not state.hindrance(newcomer)
+                    and len(found) < max(1, room)
+                    and report.name not in [n.name for n in found]
+                ):
                     found.append(newcomer)
         return tuple(found)
 
@@ -126,8 +145,11 @@
         forced = head.forced or head.version in self.forced
         if not forced:
             reports = [(m.name, self.reports.of(m.life)) for m in state.members.values()]
-            reasons = tuple(f"{name}: {r.cannot}" for name, r in reports
-                            if r is not None and r.cannot and r.ready == head.version)
+            reasons = tuple(
+                f"{name}: {r.cannot}"
+                for name, r in reports
+                if r is not None and r.cannot and r.ready == head.version
+            )
             if reasons:
                 return Dropped(head.version, reasons)
             if not all(self._is_ready(life, head) for life in state.members):
--- a/tamarindfold/bench/link.py
+++ b/tamarindfold/bench/link.py
@@ -24,7 +24,7 @@
         if len(body) - at < wire.RECORD.size:
             raise wire.WireError(f"record {number} at byte {at}: truncated header")
         code, length = wire.RECORD.unpack_from(body, at)
-        fields = body[at + wire.RECORD.size:at + wire.RECORD.size + length]
+        fields = body[at + wire.RECORD.size : at + wire.RECORD.size + length]
         if len(fields) < max(length, wire.INSTANCE.size):
             raise wire.WireError(f"record {number} at byte {at}: truncated fields")
         (instance,) = wire.INSTANCE.unpack_from(fields)
--- a/tamarindfold/choice.py
+++ b/tamarindfold/choice.py
@@ -11,9 +11,34 @@
 from typing import Any
 
 from tamarindfold.interface import (
-    Actions, AttemptEnded, BackendEntry, BackendState, Cancel, Count, CountAnswered, Effect, Event, Fail,
-    FleetUpdate, Group, ListKind, Outcome, Plan, PlansChanged, Refuse, Remembered, RequestArrived,
-    RequestClass, RequestWithdrawn, Restored, Send, Settings, SettingsChanged, StoodStill, UsePassed, Why,
+    Actions,
+    AttemptEnded,
+    BackendEntry,
+    BackendState,
+    Cancel,
+    Count,
+    CountAnswered,
+    Effect,
+    Event,
+    Fail,
+    FleetUpdate,
+    Group,
+    ListKind,
+    Outcome,
+    Plan,
+    PlansChanged,
+    Refuse,
+    Remembered,
+    RequestArrived,
+    RequestClass,
+    RequestWithdrawn,
+    Restored,
+    Send,
+    Settings,
+    SettingsChanged,
+    StoodStill,
+    UsePassed,
+    Why,
 )
 
 # ---- tuned constants
@@ -176,11 +201,13 @@
             return 1.0
         return settings.start_capacity + (1 - settings.start_capacity) * max(0.0, age / settings.cold_ms)
 
+
 class Call:
     """A request not yet answered: what has been tried and what may have run."""
 
-    def __init__(self, event: RequestArrived, cls: RequestClass, customer: Customer, now: float,
-                 work: float) -> None:
+    def __init__(
+        self, event: RequestArrived, cls: RequestClass, customer: Customer, now: float, work: float
+    ) -> None:
         self.event, self.cls, self.customer, self.work = event, cls, customer, work
         self.give_up, self.aim = now + event.time_left_ms, now + min(cls.aim_ms, event.time_left_ms)
         self.tried: list[Backend] = []
@@ -204,7 +231,8 @@
         self.slowness = Slowness()  # of the fleet as a whole
         self.asking, self.retries = ASK_FIRST, RETRY_MOST
         self.account = dict.fromkeys(  # units of tries, for the log: how they were decided, what that came to
-            ("asked", "unasked", "over_known", "over_unknown", "refused_unasked", "refused_with_room"), 0.0)
+            ("asked", "unasked", "over_known", "over_unknown", "refused_unasked", "refused_with_room"), 0.0
+        )
         self.stake = 0.0  # what is lost by a try let in beyond its quota, of those met lately
         self.fits = 1.0  # the part of first tries asked for that found room: those not asked for are alike
         self.unit_ms = [cls.aim_ms / 10 for cls in settings.classes]  # time a unit takes on an idle backend
@@ -213,10 +241,17 @@
         self.woke_at = -inf  # what was sent before tells nothing of the backends: this gateway stood still
         self.actions: Actions = []
         self.handlers: dict[type, Callable[[float, Any], None]] = {
-            RequestArrived: self.arrived, AttemptEnded: self.ended, CountAnswered: self.count_answered,
-            FleetUpdate: self.fleet, RequestWithdrawn: self.withdrawn, PlansChanged: self.plans_changed,
+            RequestArrived: self.arrived,
+            AttemptEnded: self.ended,
+            CountAnswered: self.count_answered,
+            FleetUpdate: self.fleet,
+            RequestWithdrawn: self.withdrawn,
+            PlansChanged: self.plans_changed,
             SettingsChanged: self.settings_changed,
-            UsePassed: self.passed, StoodStill: self.stood_still, Restored: self.restored}
+            UsePassed: self.passed,
+            StoodStill: self.stood_still,
+            Restored: self.restored,
+        }
 
     def handle(self, now: float, event: Event) -> Actions:
         """Take in one event; the actions are to be carried out in order."""
@@ -241,7 +276,7 @@
         """Another part of every quota: nothing is handed out here that others had a moment ago."""
         old, new, kept = self.settings, event.settings, self.grown_from * (now - self.grown_at < NAME_TTL_MS)
         self.settings, self.counting = new, new.counter and not new.meter_ms
-        for cls in new.classes[len(self.unit_ms):]:
+        for cls in new.classes[len(self.unit_ms) :]:
             self.unit_ms.append(cls.aim_ms / 10)
             for backend in self.backends.values():
                 backend.slowness.append(Slowness())
@@ -261,9 +296,18 @@
         if (known := self.customers.get(customer)) is None:
             return None
         place = next((i for i, plan in enumerate(self.settings.plans) if plan is known.plan), -1)
-        return Remembered(customer, place, round(1 / known.even), list(known.appointments),
-                          known.end_of_queue_time, known.answers, known.unit_sum, known.unit_squares,
-                          known.cap_tokens, known.filled_at)
+        return Remembered(
+            customer,
+            place,
+            round(1 / known.even),
+            list(known.appointments),
+            known.end_of_queue_time,
+            known.answers,
+            known.unit_sum,
+            known.unit_squares,
+            known.cap_tokens,
+            known.filled_at,
+        )
 
     def restored(self, now: float, event: Restored) -> None:
         """Appointments go on where they ended; the ceiling has what was left of it and what it got since."""
@@ -290,8 +334,10 @@
             width = max(1, min(event.width, self.settings.gateways))
             debt = -self.random.random() * LUMP * plan.burst  # so that rare reports are right on average
             known = Customer(plan, width, now, event.customer, debt)
-            known.tokens = min(known.tokens, plan.burst / self.grown_from
-                               + (now - self.grown_at) / 1000 * plan.rate * known.even)
+            known.tokens = min(
+                known.tokens,
+                plan.burst / self.grown_from + (now - self.grown_at) / 1000 * plan.rate * known.even,
+            )
         self.customers[event.customer] = known  # the longest unseen stand first
         known.refill(now)
         if known.plan is not plan:
@@ -337,7 +383,8 @@
                 return self.settle(now, customer, call)
         fits = min(1.0, customer.room(now, customer.left)) if customer.told_at > -inf else self.fits
         if luck < fits - (1 - fits) * (plan.over_cost - plan.over_worth) and (  # beyond its quota a try costs
-                self.counting or customer.tokens >= plan.burst * customer.share):
+            self.counting or customer.tokens >= plan.burst * customer.share
+        ):
             return self.admit(now, call, True)  # a full bucket does, or a large request never would pass
         self.refuse(now, call, Why.QUOTA)
 
@@ -434,7 +481,8 @@
         self.settle_account(customer, max(0.0, customer.store + use))
         # a try that stands for others is let in as far as the store holds them all
         granted = held is not None and customer.store + use >= max(
-            held.event.units, held.counted * self.random.random())
+            held.event.units, held.counted * self.random.random()
+        )
         self.fits += (granted - self.fits) * (1 - KEEP) / 2 * (new and held is not None)
         # what is beyond the quota takes nothing from the store, so it is given back
         beyond = use if call and not granted else min(max(use, 0.0), max(0.0, -customer.store))
@@ -475,15 +523,18 @@
         for key in ((Group.ALL, 0), (Group.ZONE, entry.zone), (Group.CELL, entry.cell)):
             ring = self.rings.setdefault(key, [])
             at = bisect_left(ring, entry.backend)
-            there = ring[at:at + 1] == [entry.backend]
-            ring[at:at + there] = [entry.backend] * ready
+            there = ring[at : at + 1] == [entry.backend]
+            ring[at : at + there] = [entry.backend] * ready
 
     def patience(self, number: int) -> float:
         """The wait this class may meet: long-aimed cheap work must not fill a pressed fleet."""
         # work that is lighter than most waits less at the same pile, and so its aim counts for more
         own = self.settings.classes[number].worth / self.unit_ms[number]
-        dear = [(cls.worth / ms, cls.aim_ms * max(1.0, self.asked_unit_ms / ms)) for cls, ms
-                in zip(self.settings.classes, self.unit_ms, strict=True) if cls.worth / ms >= own]
+        dear = [
+            (cls.worth / ms, cls.aim_ms * max(1.0, self.asked_unit_ms / ms))
+            for cls, ms in zip(self.settings.classes, self.unit_ms, strict=True)
+            if cls.worth / ms >= own
+        ]
         part = CHEAP_PATIENCE + (PATIENCE - CHEAP_PATIENCE) * own / (max(dear)[0] or 1.0)
         return part * min(aim for _, aim in dear)
 
@@ -526,8 +577,9 @@
         """The backend with the least expected delay, at random among near ties; None: refuse."""
         fleet = self.slowness.now(now)  # one bad backend is no sign of a pressed fleet
         near = [b for b in self.near(call) if not b.entry.up_since_ms or self.cold_room(now, b, call.work)]
-        rated = [(self.forecast(now, b, call, fleet), b) for b in near
-                 if b not in call.tried or len(near) == 1]
+        rated = [
+            (self.forecast(now, b, call, fleet), b) for b in near if b not in call.tried or len(near) == 1
+        ]
         if not rated:
             return None
         least = min(f for f, _ in rated)
@@ -536,7 +588,7 @@
         wait = drag * self.mean_work * self.pile(now, best)
         late = (wait + call.work - self.mean_work) / max(1.0, call.aim - now) if patience < inf else 0.0
         over = max(1.0, wait / patience, late)
-        return best if self.random.random() <= over ** -RESOLVE else None
+        return best if self.random.random() <= over**-RESOLVE else None
 
     def group(self, backend: Backend, cls: RequestClass) -> tuple[Group, int]:
         """The backends that drop each other's repeats of this class."""
--- a/tamarindfold/cli/call.py
+++ b/tamarindfold/cli/call.py
@@ -42,16 +42,26 @@
 @click.option("--file", "file", type=click.Path(path_type=Path), help="YAML list of requests, not a path.")
 @click.option("--parallel", default=8, show_default=True, type=click.IntRange(1, 256))
 @click.option("--identity", default="", help="This client's stable name.")
-def call(path: str | None, gateways: tuple[str, ...], token: str, file: Path | None, parallel: int,
-         identity: str, **one: object) -> None:
+def call(
+    path: str | None,
+    gateways: tuple[str, ...],
+    token: str,
+    file: Path | None,
+    parallel: int,
+    identity: str,
+    **one: object,
+) -> None:
     """Call through the gateways. Exit 0: all served; 1: some were not; 2: bad input."""
     from tamarindfold.client.blocking import Client
     from tamarindfold.client.shared import Reply, Settings
 
     if (path is None) == (file is None):
         raise ConfigError("give either a path or --file")
-    lines = (convert(read_yaml(file), list[Line], str(file)) if file is not None
-             else [convert({"path": path} | one, Line, "call")])
+    lines = (
+        convert(read_yaml(file), list[Line], str(file))
+        if file is not None
+        else [convert({"path": path} | one, Line, "call")]
+    )
     for number, line in enumerate(lines, 1):
         if line.effect == "keyed" and not line.key:
             raise ConfigError(f"request {number}: a keyed request needs a key")
@@ -61,11 +71,19 @@
         raise ConfigError(str(error)) from error
 
     with Client(settings) as client:
+
         def make(line: Line) -> tuple[Reply, float]:
             began = time.monotonic()
             reply = client.call(
-                line.method, line.path, effect=line.effect, deadline_ms=line.deadline_ms,
-                body=line.body.encode(), key=line.key, window_ms=line.window_ms, units=line.units)
+                line.method,
+                line.path,
+                effect=line.effect,
+                deadline_ms=line.deadline_ms,
+                body=line.body.encode(),
+                key=line.key,
+                window_ms=line.window_ms,
+                units=line.units,
+            )
             return reply, (time.monotonic() - began) * 1000
 
         if file is None:
--- a/tamarindfold/cli/keeper.py
+++ b/tamarindfold/cli/keeper.py
@@ -11,9 +11,12 @@
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--trust-disk", is_flag=True,
-              help="Vote by this disk at once, though not all other keepers can be asked. Only where it is "
-                   "certain that it is neither old nor wiped, and another keeper is gone for good.")
+@click.option(
+    "--trust-disk",
+    is_flag=True,
+    help="Vote by this disk at once, though not all other keepers can be asked. Only where it is "
+    "certain that it is neither old nor wiped, and another keeper is gone for good.",
+)
 def keeper(file: Path, trust_disk: bool) -> None:
     """Keep the agreed settings, with the other keepers, until SIGTERM."""
     from tamarindfold.cli import lifeline
--- a/tamarindfold/cli/keys.py
+++ b/tamarindfold/cli/keys.py
@@ -15,7 +15,17 @@
 from tamarindfold.config.load import ConfigError
 from tamarindfold.identity import files, keys
 from tamarindfold.identity.model import (
-    NEVER, AddCustomer, Adopt, AnyChange, DefinePlan, Issue, Move, PlanFigures, Retire, Revoke, SetNetworks,
+    NEVER,
+    AddCustomer,
+    Adopt,
+    AnyChange,
+    DefinePlan,
+    Issue,
+    Move,
+    PlanFigures,
+    Retire,
+    Revoke,
+    SetNetworks,
     SetPlan,
 )
 from tamarindfold.identity.state import Refused
@@ -95,8 +105,10 @@
         Store(store, create=True).close()
     except (OSError, StoreError) as error:
         raise ConfigError(str(error)) from error
-    click.echo(f"{store}, {files.private_path(store).name}, {files.public_path(store).name}, "
-               f"{files.pepper_path(store).name}")
+    click.echo(
+        f"{store}, {files.private_path(store).name}, {files.public_path(store).name}, "
+        f"{files.pepper_path(store).name}"
+    )
 
 
 @group.command()
@@ -112,14 +124,18 @@
 @click.pass_context
 def plan(context: click.Context, /, name: str, move_all: bool, at: float, **figures: float) -> None:
     """Define a plan, or a new version of one."""
+
     def make(store: Store) -> list[AnyChange]:
         state = store.history.state
         known = [row for row in state.plans if row.plan == name]
         changes: list[AnyChange] = [DefinePlan(name, msgspec.convert(figures, PlanFigures))]
         places = {state.places[row.plan, row.version] for row in known}
         if move_all:
-            changes += [SetPlan(row.name, name, len(known) + 1, at) for row in state.by_number
-                        if row.plan_at(at) in places]
+            changes += [
+                SetPlan(row.name, name, len(known) + 1, at)
+                for row in state.by_number
+                if row.plan_at(at) in places
+            ]
         return changes
 
     _commit(context, make)
@@ -265,8 +281,10 @@
         for held in state.credentials.values():
             if held.customer_at(now) == row.number:
                 ends = f", ends {_time(held.ends_ms)}" if held.ends_ms < NEVER else ""
-                click.echo(f"  {held.kind} {held.credential}: {held.state_at(now)}{ends}"
-                           f"{', ' + held.note if held.note else ''}")
+                click.echo(
+                    f"  {held.kind} {held.credential}: {held.state_at(now)}{ends}"
+                    f"{', ' + held.note if held.note else ''}"
+                )
 
 
 @group.command()
@@ -279,8 +297,11 @@
         values.pop("digest", None)
         if not about or about in map(str, values.values()):
             kind = values.pop("type")
-            words = ", ".join(f"{name} {_time(value) if name.endswith('_ms') else value}"
-                              for name, value in values.items() if value != "")
+            words = ", ".join(
+                f"{name} {_time(value) if name.endswith('_ms') else value}"
+                for name, value in values.items()
+                if value != ""
+            )
             click.echo(f"{version}  {_time(at_ms)}  {kind}: {words}")
 
 
@@ -308,8 +329,9 @@
 @click.pass_context
 def export(context: click.Context) -> None:
     """The log as YAML on standard output; it holds hashes, no keys."""
-    entries = [{"at_ms": at_ms, "change": msgspec.to_builtins(change)}
-               for _, at_ms, change in _opened(context).log()]
+    entries = [
+        {"at_ms": at_ms, "change": msgspec.to_builtins(change)} for _, at_ms, change in _opened(context).log()
+    ]
     click.echo(msgspec.yaml.encode({"log": entries}).decode(), nl=False)
 
 
--- a/tamarindfold/cli/main.py
+++ b/tamarindfold/cli/main.py
@@ -7,7 +7,16 @@
 import click
 
 from tamarindfold.cli import (
-    call, fleet, keeper, keys, modelcheck, registry, rehearse, serve, settings, standin,
+    call,
+    fleet,
+    keeper,
+    keys,
+    modelcheck,
+    registry,
+    rehearse,
+    serve,
+    settings,
+    standin,
 )
 from tamarindfold.config.load import ConfigError
 
--- a/tamarindfold/cli/serve.py
+++ b/tamarindfold/cli/serve.py
@@ -71,33 +71,50 @@
     """Validate a configuration and print what the gateway would be."""
     config = read(file)
     if isinstance(config, InstanceConfig):
-        click.echo(f"instance {config.agreement.name}: settings, servers and its place as agreed by "
-                   f"{', '.join(config.agreement.keepers)}")
+        click.echo(
+            f"instance {config.agreement.name}: settings, servers and its place as agreed by "
+            f"{', '.join(config.agreement.keepers)}"
+        )
         return
     instance = config.instance
-    click.echo(f"gateway {instance.index} of {instance.gateways}, listening on "
-               f"{config.listen.host}:{config.listen.port or '(chosen by the system)'}")
+    click.echo(
+        f"gateway {instance.index} of {instance.gateways}, listening on "
+        f"{config.listen.host}:{config.listen.port or '(chosen by the system)'}"
+    )
     if (section := config.forward) is not None:
         chooses = "the gateway" if section.form == "report" else "the proxy"
-        click.echo(f"forward authentication on {section.host}:{section.port or '(chosen by the system)'} for "
-                   f"{', '.join(section.trusted)}; {chooses} chooses the server; "
-                   f"decided within {section.decide_ms:g} ms")
+        click.echo(
+            f"forward authentication on {section.host}:{section.port or '(chosen by the system)'} for "
+            f"{', '.join(section.trusted)}; {chooses} chooses the server; "
+            f"decided within {section.decide_ms:g} ms"
+        )
     for cls in config.classes:
         routes = ", ".join(f"{r.method} {r.path}" for r in config.routes if r.cls == cls.name) or "no route"
         keyed = f", repeats dropped for {cls.window_ms:g} ms by {cls.group}" if cls.effect == "keyed" else ""
-        click.echo(f"class {cls.name}: {cls.effect}{keyed}, wanted in {cls.aim_ms:g} ms, given up after "
-                   f"{cls.deadline_ms:g} ms, worth {cls.worth:g}, token unchecked: {cls.unchecked}; {routes}")
+        click.echo(
+            f"class {cls.name}: {cls.effect}{keyed}, wanted in {cls.aim_ms:g} ms, given up after "
+            f"{cls.deadline_ms:g} ms, worth {cls.worth:g}, token unchecked: {cls.unchecked}; {routes}"
+        )
     width = config.customers.width or instance.gateways
     for plan in config.plans:
         quota = f"{plan.rate:g} units/s, burst {plan.burst:g}" if plan.rate else "no quota"
-        ceiling = (f", ceiling {plan.ceiling_rate:g} units/s, burst {plan.ceiling_burst:g}"
-                   if plan.ceiling_rate else "")
+        ceiling = (
+            f", ceiling {plan.ceiling_rate:g} units/s, burst {plan.ceiling_burst:g}"
+            if plan.ceiling_rate
+            else ""
+        )
         slice_rate = plan.rate / width
         click.echo(f"plan {plan.name}: {quota}{ceiling}; a slice here starts at {slice_rate:g} units/s")
     if config.identity is not None:
         click.echo(f"plans, customers and keys: from the registry at {config.identity.registry}")
     click.echo(f"tokens: checked at {config.introspection.url}, kept {config.introspection.max_age_ms:g} ms")
-    click.echo("counter: " + (f"{', '.join(config.counter.parts)}, given up after "
-                              f"{config.counter.timeout_ms:g} ms" if config.counter else "none"))
+    click.echo(
+        "counter: "
+        + (
+            f"{', '.join(config.counter.parts)}, given up after {config.counter.timeout_ms:g} ms"
+            if config.counter
+            else "none"
+        )
+    )
     servers = config.fleet.feed or ", ".join(server.address for server in config.fleet.static)
     click.echo(f"servers: {servers}; at most {config.upstream.max_attempts} attempts a request")
--- a/tamarindfold/cli/settings.py
+++ b/tamarindfold/cli/settings.py
@@ -21,8 +21,13 @@
 
 @click.group(name="settings")
 @click.option("--keepers", envvar="TAMARINDFOLD_KEEPERS", default="", help="HOST:PORT of each, with commas.")
-@click.option("--key", envvar="TAMARINDFOLD_KEY", type=click.Path(path_type=Path), default=None,
-              help="The fleet's signing key.")
+@click.option(
+    "--key",
+    envvar="TAMARINDFOLD_KEY",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="The fleet's signing key.",
+)
 @click.pass_context
 def group(context: click.Context, keepers: str, key: Path | None) -> None:
     """Propose, look at and follow the settings that all instances agree on."""
@@ -68,8 +73,10 @@
     pending = {p.version: p.document for p in state.queue}
     found = state.documents.get(wanted) or pending.get(wanted)
     if found is None:
-        raise ConfigError(f"settings: version {wanted} is not kept; there are "
-                          f"{', '.join(map(str, sorted(state.documents | pending))) or 'none'}")
+        raise ConfigError(
+            f"settings: version {wanted} is not kept; there are "
+            f"{', '.join(map(str, sorted(state.documents | pending))) or 'none'}"
+        )
     return found
 
 
@@ -98,11 +105,20 @@
 @click.option("--base", type=int, help="The version it was made from; the newest where not given.")
 @click.option("--first", multiple=True, help="An instance that is to have it before the others; repeat.")
 @click.option("--wait", is_flag=True, help="Until it is in force, telling who holds it up.")
-@click.option("--within", type=click.FloatRange(min=0.1), default=60.0, show_default=True,
-              help="Seconds to --wait.")
+@click.option(
+    "--within", type=click.FloatRange(min=0.1), default=60.0, show_default=True, help="Seconds to --wait."
+)
 @click.pass_context
-def propose(context: click.Context, file: Path, reason: str, author: str, base: int | None,
-            first: tuple[str, ...], wait: bool, within: float) -> None:
+def propose(
+    context: click.Context,
+    file: Path,
+    reason: str,
+    author: str,
+    base: int | None,
+    first: tuple[str, ...],
+    wait: bool,
+    within: float,
+) -> None:
     """Propose FILE as the next version. Exit 0: taken (with --wait: in force); 1: not; 3: nobody knows."""
     from tamarindfold.agreement import wire
     from tamarindfold.agreement.document import Document, check
@@ -167,8 +183,9 @@
     _, state = _look(_operator(context))
     for note in state.notes:
         at = datetime.fromtimestamp(note.at_ms / 1000, UTC).isoformat(timespec="seconds")
-        click.echo(f"{note.version:5}  entry {note.number:<6} {at}  {note.author}: {note.reason}  "
-                   f"[{note.became}]")
+        click.echo(
+            f"{note.version:5}  entry {note.number:<6} {at}  {note.author}: {note.reason}  [{note.became}]"
+        )
     click.echo(f"chain {state.chain.hex()} at entry {state.number}")
 
 
@@ -178,15 +195,23 @@
     """Each instance with its place, what it has taken up, its lease, and when it was last heard."""
     look, state = _look(_operator(context))
     reports = {report.life: report for report in look.reports}
-    click.echo(f"version {state.version} in force, entry {state.number}, leader keeper {look.leader}, "
-               f"a share is {state.share:.4f} of each sum")
+    click.echo(
+        f"version {state.version} in force, entry {state.number}, leader keeper {look.leader}, "
+        f"a share is {state.share:.4f} of each sum"
+    )
     for member in sorted(state.members.values(), key=lambda m: m.index):
         report = reports.get(member.life)
-        heard = (f"knows entry {report.number}, led for {report.led_ms:.0f} ms more, heard "
-                 f"{report.age_ms:.0f} ms ago" if report is not None else "not heard by this keeper")
+        heard = (
+            f"knows entry {report.number}, led for {report.led_ms:.0f} ms more, heard "
+            f"{report.age_ms:.0f} ms ago"
+            if report is not None
+            else "not heard by this keeper"
+        )
         cannot = f", cannot apply {report.ready}: {report.cannot}" if report and report.cannot else ""
-        click.echo(f"  {member.index:3}  {member.name}  place {member.number}"
-                   f"{'' if member.acting else ' (not settled)'}: {heard}{cannot}")
+        click.echo(
+            f"  {member.index:3}  {member.name}  place {member.number}"
+            f"{'' if member.acting else ' (not settled)'}: {heard}{cannot}"
+        )
     for held in sorted(state.held.values(), key=lambda h: h.name):
         click.echo(f"    -  {held.name}  away since entry {held.number}, may act on {held.share:.4f}")
     if look.waits_for:
--- a/tamarindfold/client/aio.py
+++ b/tamarindfold/client/aio.py
@@ -29,8 +29,9 @@
     async def __aenter__(self) -> AsyncClient:
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         await self.close()
 
     async def close(self) -> None:
@@ -41,9 +42,19 @@
         await self.kept.aclose()
         await self.once.aclose()
 
-    async def call(self, method: str, path: str, *, effect: str, deadline_ms: float, body: bytes = b"",
-                   key: str = "", window_ms: float = 0.0, units: float | None = None,
-                   headers: dict[str, str] | None = None) -> Reply:
+    async def call(
+        self,
+        method: str,
+        path: str,
+        *,
+        effect: str,
+        deadline_ms: float,
+        body: bytes = b"",
+        key: str = "",
+        window_ms: float = 0.0,
+        units: float | None = None,
+        headers: dict[str, str] | None = None,
+    ) -> Reply:
         """One call to its end, as `blocking.Client.call`. A cancelled call's try may run."""
         if effect == "keyed" and not key:
             raise ValueError("a keyed call needs a key")
@@ -68,8 +79,17 @@
         except TimeoutError:
             return
 
-    async def _try(self, send: Send, name: str, method: str, path: str, body: bytes, key: str,
-                   units: float | None, extra: dict[str, str]) -> tuple[Event, Reply]:
+    async def _try(
+        self,
+        send: Send,
+        name: str,
+        method: str,
+        path: str,
+        body: bytes,
+        key: str,
+        units: float | None,
+        extra: dict[str, str],
+    ) -> tuple[Event, Reply]:
         began = now_ms()
         token = await self._token(began + send.time_left_ms)
         left = send.time_left_ms - (now_ms() - began)
@@ -78,9 +98,16 @@
         client = self.kept if send.effect != "unsafe" else self.once
         sent = extra | try_headers(send, name, units, key, token)
         try:
-            async with asyncio.timeout(left / 1000), client.stream(
-                    method, send.gateway + path, content=body or None, headers=sent,
-                    timeout=self.mind.timeout(left)) as answer:
+            async with (
+                asyncio.timeout(left / 1000),
+                client.stream(
+                    method,
+                    send.gateway + path,
+                    content=body or None,
+                    headers=sent,
+                    timeout=self.mind.timeout(left),
+                ) as answer,
+            ):
                 parts = [part async for part in answer.aiter_raw()]
         except TimeoutError:
             return Broken(), NOTHING
@@ -89,8 +116,9 @@
         if answer.status_code == 401:
             self.mind.tokens.refused(token)
         found = dict(answer.headers)
-        return answered(answer.status_code, found), Reply(NOTHING.result, answer.status_code, found,
-                                                          b"".join(parts))
+        return answered(answer.status_code, found), Reply(
+            NOTHING.result, answer.status_code, found, b"".join(parts)
+        )
 
     async def _token(self, until_ms: float) -> str | None:
         if self.mind.settings.token:
@@ -113,8 +141,9 @@
     async def _fetch(self, until_ms: float) -> None:
         url, headers, form = self.mind.token_request()
         try:
-            answer = await self.kept.post(url, headers=headers, data=form,
-                                          timeout=self.mind.timeout(until_ms - now_ms()))
+            answer = await self.kept.post(
+                url, headers=headers, data=form, timeout=self.mind.timeout(until_ms - now_ms())
+            )
         except asyncio.CancelledError:
             self.mind.tokens.failed(now_ms())
             raise
--- a/tamarindfold/client/blocking.py
+++ b/tamarindfold/client/blocking.py
@@ -29,8 +29,9 @@
     def __enter__(self) -> Client:
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         self.close()
 
     def close(self) -> None:
@@ -39,9 +40,19 @@
         self.kept.close()
         self.once.close()
 
-    def call(self, method: str, path: str, *, effect: str, deadline_ms: float, body: bytes = b"",
-             key: str = "", window_ms: float = 0.0, units: float | None = None,
-             headers: dict[str, str] | None = None) -> Reply:
+    def call(
+        self,
+        method: str,
+        path: str,
+        *,
+        effect: str,
+        deadline_ms: float,
+        body: bytes = b"",
+        key: str = "",
+        window_ms: float = 0.0,
+        units: float | None = None,
+        headers: dict[str, str] | None = None,
+    ) -> Reply:
         """One call to its end. effect: safe, keyed (with a key, and the window in which the servers drop
         repeats) or unsafe. ValueError for a keyed call without a key."""
         if effect == "keyed" and not key:
@@ -63,8 +74,17 @@
                 action = call.handle(now_ms(), event)
         return Reply(action, reply.status, reply.headers, reply.body)
 
-    def _try(self, send: Send, name: str, method: str, path: str, body: bytes, key: str, units: float | None,
-             extra: dict[str, str]) -> tuple[Event, Reply]:
+    def _try(
+        self,
+        send: Send,
+        name: str,
+        method: str,
+        path: str,
+        body: bytes,
+        key: str,
+        units: float | None,
+        extra: dict[str, str],
+    ) -> tuple[Event, Reply]:
         """One try: what came of it."""
         began = now_ms()
         token = self._token(send, began + send.time_left_ms)
@@ -74,8 +94,13 @@
         client = self.kept if send.effect != "unsafe" else self.once
         sent = extra | try_headers(send, name, units, key, token)
         try:
-            with client.stream(method, send.gateway + path, content=body or None, headers=sent,
-                               timeout=self.mind.timeout(left)) as answer:
+            with client.stream(
+                method,
+                send.gateway + path,
+                content=body or None,
+                headers=sent,
+                timeout=self.mind.timeout(left),
+            ) as answer:
                 parts = []
                 for part in answer.iter_raw():  # as it comes: a chunk size would wait for a whole chunk
                     parts.append(part)
@@ -87,8 +112,9 @@
             with self.lock:
                 self.mind.tokens.refused(token)
         found = dict(answer.headers)
-        return answered(answer.status_code, found), Reply(NOTHING.result, answer.status_code, found,
-                                                          b"".join(parts))
+        return answered(answer.status_code, found), Reply(
+            NOTHING.result, answer.status_code, found, b"".join(parts)
+        )
 
     # ---- tokens
 
@@ -114,8 +140,9 @@
     def _fetch(self, until_ms: float) -> None:
         url, headers, form = self.mind.token_request()
         try:
-            answer = self.kept.post(url, headers=headers, data=form,
-                                    timeout=self.mind.timeout(until_ms - now_ms()))
+            answer = self.kept.post(
+                url, headers=headers, data=form, timeout=self.mind.timeout(until_ms - now_ms())
+            )
         except (httpx.HTTPError, RuntimeError):
             with self.lock:
                 self.mind.tokens.failed(now_ms())
--- a/tamarindfold/client/core.py
+++ b/tamarindfold/client/core.py
@@ -123,8 +123,9 @@
 class Call:
     """One call from its first try to its end."""
 
-    def __init__(self, rules: Rules, ask: Ask, gateways: Gateways, budget: Budget, reconnects: Reconnects,
-                 draw: Draw) -> None:
+    def __init__(
+        self, rules: Rules, ask: Ask, gateways: Gateways, budget: Budget, reconnects: Reconnects, draw: Draw
+    ) -> None:
         self.rules, self.ask = rules, ask
         self.gateways, self.budget, self.reconnects, self.draw = gateways, budget, reconnects, draw
         self.tries = 0
--- a/tamarindfold/client/protocol.py
+++ b/tamarindfold/client/protocol.py
@@ -36,8 +36,9 @@
     return MOST_WAIT_MS if len(text) > 12 else min(MOST_WAIT_MS, int(text) * unit_ms)
 
 
-def headers(name: str, time_left_ms: float, retry: bool, units: float | None, key: str,
-            token: str) -> dict[str, str]:
+def headers(
+    name: str, time_left_ms: float, retry: bool, units: float | None, key: str, token: str
+) -> dict[str, str]:
     """The headers of one try."""
     out = {"tamarind-request": name, "tamarind-time-left": str(max(1, int(time_left_ms)))}
     if token:
--- a/tamarindfold/client/shared.py
+++ b/tamarindfold/client/shared.py
@@ -21,8 +21,14 @@
 from tamarindfold.client.tokens import Tokens
 
 # a fault of these kinds comes before the first byte of a request is written
-BEFORE_THE_FIRST_BYTE = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout, httpx.ProxyError,
-                         httpx.UnsupportedProtocol, httpx.InvalidURL)
+BEFORE_THE_FIRST_BYTE = (
+    httpx.ConnectError,
+    httpx.ConnectTimeout,
+    httpx.PoolTimeout,
+    httpx.ProxyError,
+    httpx.UnsupportedProtocol,
+    httpx.InvalidURL,
+)
 CONNECT_PART = 0.5  # of the time left: what connecting may take at most, so that another gateway can be tried
 
 
@@ -100,9 +106,11 @@
     def limits(self, kept: bool) -> httpx.Limits:
         """kept: connections may be used again. Not for what must not run twice: a gateway may close an idle
         connection just as it is used, and then nobody knows."""
-        return httpx.Limits(max_connections=self.settings.connections,
-                            max_keepalive_connections=self.settings.connections if kept else 0,
-                            keepalive_expiry=self.settings.idle_ms / 1000)
+        return httpx.Limits(
+            max_connections=self.settings.connections,
+            max_keepalive_connections=self.settings.connections if kept else 0,
+            keepalive_expiry=self.settings.idle_ms / 1000,
+        )
 
     def token_request(self) -> tuple[str, dict[str, str], dict[str, str]]:
         """URL, headers and form of a client credentials grant."""
--- a/tamarindfold/client/spread.py
+++ b/tamarindfold/client/spread.py
@@ -16,7 +16,7 @@
 def place(identity: str, gateway: str) -> float:
     """Where in a spread a client stands for a gateway: from 0 to 1, always the same, evenly over clients."""
     digest = hashlib.sha256(f"{identity}\n{gateway}".encode()).digest()
-    return (int.from_bytes(digest[:8], "big") >> 11) / 2.0 ** 53
+    return (int.from_bytes(digest[:8], "big") >> 11) / 2.0**53
 
 
 class Reconnects:
--- a/tamarindfold/client/vectors.py
+++ b/tamarindfold/client/vectors.py
@@ -16,7 +16,19 @@
 
 from tamarindfold.client.budget import Budget
 from tamarindfold.client.core import (
-    Action, Answered, Ask, Broken, Call, Event, NoToken, Result, Rules, Send, Unreached, Wait, Woke,
+    Action,
+    Answered,
+    Ask,
+    Broken,
+    Call,
+    Event,
+    NoToken,
+    Result,
+    Rules,
+    Send,
+    Unreached,
+    Wait,
+    Woke,
 )
 from tamarindfold.client.gateways import Gateways
 from tamarindfold.client.protocol import wait_ms
@@ -25,12 +37,21 @@
 LIVES, CALLS, WALL_MS = 120, 6, 1_800_000_000_000.0
 
 WAITS: list[dict[str, str]] = [
-    {}, {"retry-after": "3"}, {"retry-after": "0"}, {"retry-after": "soon"}, {"retry-after": "-5"},
-    {"retry-after": "9" * 40}, {"retry-after": "99999999"}, {"retry-after": "1.5"},
-    {"retry-after": "Fri, 15 Jan 2027 08:00:10 GMT"}, {"retry-after": "Fri, 15 Jan 2027 07:00:00 GMT"},
-    {"retry-after": "Sun, 15 Jan 2090 08:00:10 GMT"}, {"retry-after": "Fri, 45 Jan 2027 08:00:10 GMT"},
+    {},
+    {"retry-after": "3"},
+    {"retry-after": "0"},
+    {"retry-after": "soon"},
+    {"retry-after": "-5"},
+    {"retry-after": "9" * 40},
+    {"retry-after": "99999999"},
+    {"retry-after": "1.5"},
+    {"retry-after": "Fri, 15 Jan 2027 08:00:10 GMT"},
+    {"retry-after": "Fri, 15 Jan 2027 07:00:00 GMT"},
+    {"retry-after": "Sun, 15 Jan 2090 08:00:10 GMT"},
+    {"retry-after": "Fri, 45 Jan 2027 08:00:10 GMT"},
     {"tamarind-retry-after-ms": "250", "retry-after": "9"},
-    {"tamarind-retry-after-ms": "x", "retry-after": "2"}, {"tamarind-retry-after-ms": " 40 "},
+    {"tamarind-retry-after-ms": "x", "retry-after": "2"},
+    {"tamarind-retry-after-ms": " 40 "},
 ]
 
 
@@ -67,13 +88,25 @@
     """An action as it stands in a vector; times to the microsecond, other languages may round otherwise."""
     match action:
         case Send(gateway, number, retry, left, fresh, effect):
-            return {"kind": "send", "gateway": gateway, "number": number, "retry": retry,
-                    "time_left_ms": round(left, 3), "fresh_token": fresh, "effect": effect}
+            return {
+                "kind": "send",
+                "gateway": gateway,
+                "number": number,
+                "retry": retry,
+                "time_left_ms": round(left, 3),
+                "fresh_token": fresh,
+                "effect": effect,
+            }
         case Wait(until):
             return {"kind": "wait", "until_ms": round(until, 3)}
         case Result(outcome, reason, tries, again):
-            return {"kind": "result", "outcome": outcome.value, "reason": reason, "tries": tries,
-                    "again_ms": round(again, 3)}
+            return {
+                "kind": "result",
+                "outcome": outcome.value,
+                "reason": reason,
+                "tries": tries,
+                "again_ms": round(again, 3),
+            }
 
 
 class Life:
@@ -83,8 +116,13 @@
         self.draw = draw
         self.gateways = Gateways(settings["gateways"], settings["identity"], draw)
         self.budget = Budget(settings["budget_part"], settings["budget_most"])
-        self.reconnects = Reconnects(settings["identity"], settings["spread_ms"],
-                                     settings["reconnect_base_ms"], settings["reconnect_most_ms"], draw)
+        self.reconnects = Reconnects(
+            settings["identity"],
+            settings["spread_ms"],
+            settings["reconnect_base_ms"],
+            settings["reconnect_most_ms"],
+            draw,
+        )
         self.rules = Rules(settings["most_tries"], settings["pause_base_ms"], settings["pause_most_ms"])
 
     def call(self, ask: dict[str, Any]) -> Call:
@@ -103,14 +141,35 @@
         return Broken()
     if kind < 0.4:
         return NoToken()
-    status, outcome = random.choice([
-        (200, "served"), (200, ""), (429, "refused"), (429, "refused"), (429, ""), (503, "refused"),
-        (503, ""), (502, "failed"), (504, "failed"), (500, ""), (401, "rejected"), (401, ""),
-        (404, "rejected"), (403, ""), (408, ""), (302, "")])
+    status, outcome = random.choice(
+        [
+            (200, "served"),
+            (200, ""),
+            (429, "refused"),
+            (429, "refused"),
+            (429, ""),
+            (503, "refused"),
+            (503, ""),
+            (502, "failed"),
+            (504, "failed"),
+            (500, ""),
+            (401, "rejected"),
+            (401, ""),
+            (404, "rejected"),
+            (403, ""),
+            (408, ""),
+            (302, ""),
+        ]
+    )
     headers = {"tamarind-outcome": outcome} if outcome else {}
     if outcome == "refused" or status == 429:
-        headers |= random.choice([{"tamarind-retry-after-ms": str(random.choice((20, 300, 1500, 40_000)))},
-                                  {"retry-after": random.choice(("1", "2", "often"))}, {}])
+        headers |= random.choice(
+            [
+                {"tamarind-retry-after-ms": str(random.choice((20, 300, 1500, 40_000)))},
+                {"retry-after": random.choice(("1", "2", "often"))},
+                {},
+            ]
+        )
     return Answered(status, headers, WALL_MS)
 
 
@@ -118,10 +177,17 @@
     """One vector."""
     random = Random(seed)
     settings = {
-        "gateways": [f"http://gateway-{i}" for i in range(random.randint(1, 4))], "identity": f"till-{seed}",
-        "budget_part": 0.2, "budget_most": random.choice((2.0, 10.0)),
-        "spread_ms": random.choice((0.0, 5000.0)), "reconnect_base_ms": 200.0, "reconnect_most_ms": 30_000.0,
-        "most_tries": random.randint(1, 5), "pause_base_ms": 50.0, "pause_most_ms": 2000.0}
+        "gateways": [f"http://gateway-{i}" for i in range(random.randint(1, 4))],
+        "identity": f"till-{seed}",
+        "budget_part": 0.2,
+        "budget_most": random.choice((2.0, 10.0)),
+        "spread_ms": random.choice((0.0, 5000.0)),
+        "reconnect_base_ms": 200.0,
+        "reconnect_most_ms": 30_000.0,
+        "most_tries": random.randint(1, 5),
+        "pause_base_ms": 50.0,
+        "pause_most_ms": 2000.0,
+    }
     draws: list[float] = []
 
     def draw() -> float:
@@ -131,8 +197,11 @@
     life, now, calls = Life(settings, draw), 1000.0, []
     for _ in range(CALLS):
         effect = random.choice(("safe", "keyed", "unsafe"))
-        ask = {"effect": effect, "deadline_ms": now + random.choice((400.0, 3000.0, 20_000.0)),
-               "window_ms": random.choice((500.0, 3000.0)) if effect == "keyed" else 0.0}
+        ask = {
+            "effect": effect,
+            "deadline_ms": now + random.choice((400.0, 3000.0, 20_000.0)),
+            "window_ms": random.choice((500.0, 3000.0)) if effect == "keyed" else 0.0,
+        }
         call = life.call(ask)
         action = call.start(now)
         steps: list[dict[str, Any]] = [{"now": now, "event": None, "action": action_json(action)}]
@@ -152,8 +221,9 @@
     """Write calls.json and waits.json."""
     folder = Path(sys.argv[1])
     folder.mkdir(parents=True, exist_ok=True)
-    waits = [{"headers": headers, "wall_ms": WALL_MS, "wait_ms": wait_ms(headers, WALL_MS)}
-             for headers in WAITS]
+    waits = [
+        {"headers": headers, "wall_ms": WALL_MS, "wait_ms": wait_ms(headers, WALL_MS)} for headers in WAITS
+    ]
     for name, data in (("calls", [make(seed) for seed in range(LIVES)]), ("waits", waits)):
         (folder / f"{name}.json").write_text(json.dumps(data, separators=(",", ":")) + "\n")
 
--- a/tamarindfold/config/derive.py
+++ b/tamarindfold/config/derive.py
@@ -34,25 +34,54 @@
     """The module's settings for this gateway."""
     counter = config.counter
     return Settings(
-        gateways=config.instance.gateways, index=config.instance.index, zone=config.instance.zone,
-        classes=tuple(RequestClass(c.aim_ms, c.deadline_ms, c.worth, Effect(c.effect), Group(c.group),
-                                   c.window_ms, c.late_worth, c.name) for c in config.classes),
+        gateways=config.instance.gateways,
+        index=config.instance.index,
+        zone=config.instance.zone,
+        classes=tuple(
+            RequestClass(
+                c.aim_ms,
+                c.deadline_ms,
+                c.worth,
+                Effect(c.effect),
+                Group(c.group),
+                c.window_ms,
+                c.late_worth,
+                c.name,
+            )
+            for c in config.classes
+        ),
         plans=tuple(plan(p, p.name) for p in config.plans) or (NO_PLANS_YET,),
-        max_attempts=config.upstream.max_attempts, start_capacity=config.safety.start_capacity,
-        cold_ms=config.safety.cold_ms, fall_multiple=config.safety.fall_multiple,
-        overload_ms=config.safety.overload_ms, drain_grace_ms=config.safety.drain_grace_ms,
-        answer_grace_ms=config.safety.answer_grace_ms, tick_ms=1.0, most_units=config.customers.most_units,
-        marks_retry=True, cancel=True, counter=counter is not None,
+        max_attempts=config.upstream.max_attempts,
+        start_capacity=config.safety.start_capacity,
+        cold_ms=config.safety.cold_ms,
+        fall_multiple=config.safety.fall_multiple,
+        overload_ms=config.safety.overload_ms,
+        drain_grace_ms=config.safety.drain_grace_ms,
+        answer_grace_ms=config.safety.answer_grace_ms,
+        tick_ms=1.0,
+        most_units=config.customers.most_units,
+        marks_retry=True,
+        cancel=True,
+        counter=counter is not None,
         counter_timeout_ms=counter.timeout_ms if counter else 0.0,
-        counter_price=counter.price if counter else 0.0)
+        counter_price=counter.price if counter else 0.0,
+    )
 
 
 def static_entries(config: GatewayConfig) -> list[BackendEntry]:
     """The fixed list of servers."""
     states = {"ready": BackendState.READY, "draining": BackendState.DRAINING}
-    return [BackendEntry(backend_id(*split_address(s.address, f"fleet.static[{i}].address")),
-                         states[s.state], s.zone, s.kind, s.cell, s.size)
-            for i, s in enumerate(config.fleet.static)]
+    return [
+        BackendEntry(
+            backend_id(*split_address(s.address, f"fleet.static[{i}].address")),
+            states[s.state],
+            s.zone,
+            s.kind,
+            s.cell,
+            s.size,
+        )
+        for i, s in enumerate(config.fleet.static)
+    ]
 
 
 def _unique(names: list[str], what: str) -> None:
@@ -79,8 +108,10 @@
 def check(config: GatewayConfig) -> None:
     """ValueError where parts of the configuration contradict each other."""
     if config.instance.index >= config.instance.gateways:
-        raise ValueError(f"instance.index: {config.instance.index} is not below instance.gateways "
-                         f"({config.instance.gateways})")
+        raise ValueError(
+            f"instance.index: {config.instance.index} is not below instance.gateways "
+            f"({config.instance.gateways})"
+        )
     classes, plans = [c.name for c in config.classes], [p.name for p in config.plans]
     _unique(classes, "classes")
     _unique(plans, "plans")
--- a/tamarindfold/config/load.py
+++ b/tamarindfold/config/load.py
@@ -24,8 +24,9 @@
         for key_node, _ in node.value:
             key = self.construct_object(key_node, deep=True)
             if key in seen:
-                raise yaml.MarkedYAMLError(problem=f"key {key!r} is given twice",
-                                           problem_mark=key_node.start_mark)
+                raise yaml.MarkedYAMLError(
+                    problem=f"key {key!r} is given twice", problem_mark=key_node.start_mark
+                )
             seen.append(key)
         return super().construct_mapping(node, deep)
 
--- a/tamarindfold/counter/driver.py
+++ b/tamarindfold/counter/driver.py
@@ -23,9 +23,16 @@
 class _Part:
     """One part: a greenlet that connects and reads, one that writes, one that watches the time."""
 
-    def __init__(self, address: tuple[str, int], pipeline: Pipeline, reconnect_ms: float,
-                 clock: Callable[[], float], tell: Callable[[CountAnswered], None],
-                 log: Callable[..., None], keep_ms: float) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        pipeline: Pipeline,
+        reconnect_ms: float,
+        clock: Callable[[], float],
+        tell: Callable[[CountAnswered], None],
+        log: Callable[..., None],
+        keep_ms: float,
+    ) -> None:
         self.pipeline, self.written_at, self.keep_s = pipeline, 0.0, keep_ms / 1000
         self.link = Link(address, CONNECT_S, Backoff(reconnect_ms / 1000, MOST_PAUSE_S))
         self.clock, self.tell, self.log = clock, tell, log
@@ -116,14 +123,25 @@
 class Counter:
     """All parts of the shared counter."""
 
-    def __init__(self, addresses: list[tuple[str, int]], timeout_ms: float, most_pending: int,
-                 dialect: Dialect, reconnect_ms: float, clock: Callable[[], float],
-                 tell: Callable[[CountAnswered], None], log: Callable[..., None],
-                 keep_ms: float = 0.0) -> None:
+    def __init__(
+        self,
+        addresses: list[tuple[str, int]],
+        timeout_ms: float,
+        most_pending: int,
+        dialect: Dialect,
+        reconnect_ms: float,
+        clock: Callable[[], float],
+        tell: Callable[[CountAnswered], None],
+        log: Callable[..., None],
+        keep_ms: float = 0.0,
+    ) -> None:
         """keep_ms: a connection idle so long is used, so that it stays open; 0: it is left alone."""
         self.parts = [
-            _Part(address, Pipeline(timeout_ms, most_pending, dialect), reconnect_ms, clock, tell, log,
-                  keep_ms) for address in addresses]
+            _Part(
+                address, Pipeline(timeout_ms, most_pending, dialect), reconnect_ms, clock, tell, log, keep_ms
+            )
+            for address in addresses
+        ]
 
     def move(self, addresses: list[tuple[str, int]]) -> None:
         """The same parts are reached elsewhere from now on."""
--- a/tamarindfold/counter/pipeline.py
+++ b/tamarindfold/counter/pipeline.py
@@ -59,8 +59,9 @@
 
     def call(self, count: Count) -> bytes:
         key = self.prefix + b"%x" % count.name
-        return (command(b"INCRBYFLOAT", key, repr(float(count.amount)).encode())
-                + command(b"PEXPIRE", key, b"%d" % max(1, round(count.ttl_ms)), b"NX"))
+        return command(b"INCRBYFLOAT", key, repr(float(count.amount)).encode()) + command(
+            b"PEXPIRE", key, b"%d" % max(1, round(count.ttl_ms)), b"NX"
+        )
 
     def nothing_added(self, error: Exception) -> bool:
         return True
@@ -149,8 +150,11 @@
     def lost(self, now: float) -> list[CountAnswered]:
         """The connection is gone: what was out may have been added, and no reply will come."""
         self.connected = self.spoilt = False
-        out = [CountAnswered(call.name, Outcome.RESET, now - call.at, 0.0)
-               for call in self.calls if not call.told]
+        out = [
+            CountAnswered(call.name, Outcome.RESET, now - call.at, 0.0)
+            for call in self.calls
+            if not call.told
+        ]
         self.calls.clear()
         self.waiting.clear()
         return out
--- a/tamarindfold/ds/durable.py
+++ b/tamarindfold/ds/durable.py
@@ -23,10 +23,10 @@
     """(offset, data) of each whole frame in order; at last (offset, None) where what follows is none."""
     at = 0
     while at < len(data):
-        length = int.from_bytes(data[at:at + 4], "little")
-        body = data[at + HEAD_BYTES:at + HEAD_BYTES + length]
+        length = int.from_bytes(data[at : at + 4], "little")
+        body = data[at + HEAD_BYTES : at + HEAD_BYTES + length]
         whole = len(data) >= at + HEAD_BYTES and length <= most_bytes and len(body) == length
-        if not whole or crc32(body) != int.from_bytes(data[at + 4:at + 8], "little"):
+        if not whole or crc32(body) != int.from_bytes(data[at + 4 : at + 8], "little"):
             yield at, None
             return
         yield at, body
@@ -46,7 +46,7 @@
         """Some more of it; OSError where the disk is full."""
         view = memoryview(data)
         while view:
-            view = view[self.file.write(view):]
+            view = view[self.file.write(view) :]
         self.size += len(data)
 
     def sync(self) -> None:
--- a/tamarindfold/forward/gate.py
+++ b/tamarindfold/forward/gate.py
@@ -22,8 +22,9 @@
         self.most, self.decide_ms, self.random = most, decide_ms, Random(seed)
         ranks = sorted(set(worths))
         top = len(ranks) - 1
-        self.parts = [LEAST_PART + (1 - LEAST_PART) * (ranks.index(worth) / top if top else 1.0)
-                      for worth in worths]
+        self.parts = [
+            LEAST_PART + (1 - LEAST_PART) * (ranks.index(worth) / top if top else 1.0) for worth in worths
+        ]
         self.taken, self.lag_ms = 0, 0.0
         self.turned_away = [0] * len(self.parts)
 
--- a/tamarindfold/forward/original.py
+++ b/tamarindfold/forward/original.py
@@ -31,9 +31,11 @@
         return frozenset((*self.method, *self.uri, *self.host))
 
     @classmethod
-    def of(cls, method: Sequence[str], uri: Sequence[str], host: Sequence[str], prefix: str,
-           hosts: Sequence[str]) -> Names:
+    def of(
+        cls, method: Sequence[str], uri: Sequence[str], host: Sequence[str], prefix: str, hosts: Sequence[str]
+    ) -> Names:
         """From the configuration's words."""
+
         def low(names: Sequence[str]) -> tuple[bytes, ...]:
             return tuple(name.lower().encode() for name in names)
 
@@ -68,7 +70,7 @@
     method = _one(told, names.method, "method")
     target = _one(told, names.uri, "URI")
     if names.prefix and request.target.startswith(names.prefix + b"/"):
-        own = request.target[len(names.prefix):]
+        own = request.target[len(names.prefix) :]
         if target not in (None, own):
             raise Rejected(400, "the path and the headers name two URIs that differ")
         target = own
--- a/tamarindfold/http1/ask.py
+++ b/tamarindfold/http1/ask.py
@@ -9,8 +9,15 @@
 from tamarindfold.http1.responses import ResponseReader
 
 
-def ask(sock: Any, reader: ResponseReader, method: str, target: str, host: str, body: bytes = b"",
-        headers: Headers | None = None) -> tuple[int, bytes]:
+def ask(
+    sock: Any,
+    reader: ResponseReader,
+    method: str,
+    target: str,
+    host: str,
+    body: bytes = b"",
+    headers: Headers | None = None,
+) -> tuple[int, bytes]:
     """Status and body; sock: any socket. OSError where the connection ends, BadResponse for a bad answer."""
     reader.begin()
     sock.sendall(write.request(method, target.encode(), host.encode(), headers or [], body))
--- a/tamarindfold/http1/write.py
+++ b/tamarindfold/http1/write.py
@@ -6,14 +6,27 @@
 from http import HTTPStatus
 
 # of one connection only, never passed on (RFC 9110 section 7.6.1)
-HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"te",
-                        b"trailer", b"transfer-encoding", b"upgrade", b"proxy-connection", b"content-length"))
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"proxy-connection",
+        b"content-length",
+    )
+)
 
 _REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
-def request(method: str, target: bytes, host: bytes, headers: Iterable[tuple[bytes, bytes]],
-            body: bytes = b"") -> bytes:
+def request(
+    method: str, target: bytes, host: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
+) -> bytes:
     """A request with a length where it has a body or its method usually has one."""
     out = [method.encode(), b" ", target, b" HTTP/1.1\r\nhost: ", host, b"\r\n"]
     for name, value in headers:
@@ -24,8 +37,13 @@
     return b"".join(out)
 
 
-def response(status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"", keep_alive: bool = True,
-             no_body: bool = False) -> bytes:
+def response(
+    status: int,
+    headers: Iterable[tuple[bytes, bytes]],
+    body: bytes = b"",
+    keep_alive: bool = True,
+    no_body: bool = False,
+) -> bytes:
     """A response with its length; no_body: to a HEAD, or a status that has none."""
     out = [b"HTTP/1.1 ", str(status).encode(), b" ", _REASONS.get(status, b"Unknown"), b"\r\n"]
     for name, value in headers:
--- a/tamarindfold/identity/copy.py
+++ b/tamarindfold/identity/copy.py
@@ -25,8 +25,8 @@
         return "" if isinstance(error, FileNotFoundError) else str(error)
     at = 0
     while at < len(data):
-        length = int.from_bytes(data[at:at + LENGTH_BYTES], "little")
-        whole = data[at + LENGTH_BYTES:at + LENGTH_BYTES + length]
+        length = int.from_bytes(data[at : at + LENGTH_BYTES], "little")
+        whole = data[at + LENGTH_BYTES : at + LENGTH_BYTES + length]
         if len(data) < at + LENGTH_BYTES or len(whole) < length:
             return f"cut off at byte {at}"
         try:
--- a/tamarindfold/identity/driver.py
+++ b/tamarindfold/identity/driver.py
@@ -37,17 +37,30 @@
 class Identity:
     """The registry as one instance sees it."""
 
-    def __init__(self, registry: tuple[str, int], key: Ed25519PublicKey, pepper: bytes, saved_at: Path | None,
-                 skew_ms: float, wait_ms: float, reconnect_ms: float, source_address: str,
-                 clock: Callable[[], float], plans: Callable[[list[PlanRow]], None],
-                 log: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        registry: tuple[str, int],
+        key: Ed25519PublicKey,
+        pepper: bytes,
+        saved_at: Path | None,
+        skew_ms: float,
+        wait_ms: float,
+        reconnect_ms: float,
+        source_address: str,
+        clock: Callable[[], float],
+        plans: Callable[[list[PlanRow]], None],
+        log: Callable[..., None],
+    ) -> None:
         self.registry, self.key, self.pepper, self.saved_at = registry, key, pepper, saved_at
         self.skew_ms, self.wait_ms, self.reconnect_s = skew_ms, wait_ms, reconnect_ms / 1000
         self.source = (source_address, 0) if source_address else None
         self.clock, self.tell_plans, self.log = clock, plans, log
         self.follower = Follower()
-        self.news = LinkFollower(Link(registry, CONNECT_S, Backoff(self.reconnect_s, self.reconnect_s),
-                                      source_address), self._read, self._lost)
+        self.news = LinkFollower(
+            Link(registry, CONNECT_S, Backoff(self.reconnect_s, self.reconnect_s), source_address),
+            self._read,
+            self._lost,
+        )
         self.plans_told = 0
         self.applied_at_ms = 0.0
         self.uses: dict[tuple[int, str], list[float]] = {}
@@ -98,8 +111,10 @@
         """Ask for all there is up to now, on a connection of its own: the long poll's is waiting."""
         good = False
         try:
-            with (gevent.Timeout(CONFIRM_S),
-                  socket.create_connection(self.registry, CONNECT_S, self.source) as sock):
+            with (
+                gevent.Timeout(CONFIRM_S),
+                socket.create_connection(self.registry, CONNECT_S, self.source) as sock,
+            ):
                 status, body = ask(sock, ResponseReader(UPDATE_BYTES), "GET", self._target(0.0), HOST)
             good = status == 200 and self._take(body)
         except (OSError, BadResponse, gevent.Timeout) as error:
@@ -153,8 +168,12 @@
 
     def _lost(self, reason: Exception | None) -> None:
         self.counts["lost"] += 1
-        self.log("identity.registry_lost", reason=str(reason or "closed"), version=self.version,
-                 stale_ms=round(self.follower.stale_ms(self.clock())))
+        self.log(
+            "identity.registry_lost",
+            reason=str(reason or "closed"),
+            version=self.version,
+            stale_ms=round(self.follower.stale_ms(self.clock())),
+        )
 
     def _read(self, sock: socket.socket) -> None:
         """Ask by long polls until the connection is of no use."""
@@ -173,8 +192,10 @@
 
     def _target(self, wait_ms: float) -> str:
         want = self.follower.ask()
-        return (f"/v1/updates?epoch={want.epoch}&after={want.after}&chain={want.chain:x}"
-                f"&whole={int(want.whole)}&wait_ms={wait_ms:.0f}")
+        return (
+            f"/v1/updates?epoch={want.epoch}&after={want.after}&chain={want.chain:x}"
+            f"&whole={int(want.whole)}&wait_ms={wait_ms:.0f}"
+        )
 
     def _take(self, envelope: bytes) -> bool:
         """Use an update; whether it was of use."""
@@ -190,8 +211,10 @@
         result = self.follower.take(body, made_at)
         if isinstance(result, Rejected):
             self.counts["rejected"] += 1
-            self.log("identity.registry_went_back" if result.went_back else "identity.update_rejected",
-                     reason=result.reason)
+            self.log(
+                "identity.registry_went_back" if result.went_back else "identity.update_rejected",
+                reason=result.reason,
+            )
             return not result.went_back
         if isinstance(result, Applied):
             self.counts["applied"] += 1
@@ -199,8 +222,13 @@
             self.applied_at_ms = self.clock()
             self._tell_plans()
             self._save(envelope, result.whole)
-            self.log("identity.applied", version=result.version, whole=result.whole,
-                     made_at_ms=round(made_at, 3), took_ms=round(self.applied_at_ms - made_at, 3))
+            self.log(
+                "identity.applied",
+                version=result.version,
+                whole=result.whole,
+                made_at_ms=round(made_at, 3),
+                took_ms=round(self.applied_at_ms - made_at, 3),
+            )
         return True
 
     def _tell_plans(self) -> None:
@@ -225,8 +253,12 @@
             if not self.uses:
                 continue
             uses, self.uses = self.uses, {}
-            body = msgspec.json.encode([[name, network, first, last, int(count)]
-                                        for (name, network), (first, last, count) in uses.items()])
+            body = msgspec.json.encode(
+                [
+                    [name, network, first, last, int(count)]
+                    for (name, network), (first, last, count) in uses.items()
+                ]
+            )
             try:
                 with socket.create_connection(self.registry, CONNECT_S, self.source) as sock:
                     sock.settimeout(LATE_S)
--- a/tamarindfold/identity/files.py
+++ b/tamarindfold/identity/files.py
@@ -39,10 +39,12 @@
 def make_pair(store: Path) -> None:
     """Make a signing key and its public half; OSError where one is there already."""
     key = Ed25519PrivateKey.generate()
-    private = key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                                serialization.NoEncryption())
-    public = key.public_key().public_bytes(serialization.Encoding.PEM,
-                                           serialization.PublicFormat.SubjectPublicKeyInfo)
+    private = key.private_bytes(
+        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    )
+    public = key.public_key().public_bytes(
+        serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo
+    )
     _write_new(private_path(store), private, 0o600)
     _write_new(public_path(store), public, 0o644)
 
--- a/tamarindfold/identity/follower.py
+++ b/tamarindfold/identity/follower.py
@@ -114,8 +114,9 @@
     def _unchanged(self, body: Unchanged) -> Result:
         held = self.tables
         if body.other_past:
-            return Rejected(f"the registry at {body.epoch}.{body.version} has another past than what is held",
-                            True)
+            return Rejected(
+                f"the registry at {body.epoch}.{body.version} has another past than what is held", True
+            )
         if held is None or (body.epoch, body.version) > (held.epoch, held.version):
             self.want_snapshot = True
             return Rejected("the registry is further on than what is held")
--- a/tamarindfold/identity/keys.py
+++ b/tamarindfold/identity/keys.py
@@ -56,7 +56,7 @@
     found = _KEY.fullmatch(text)
     if found is None:
         raise BadKey("not a key")
-    body = text[:-CHECK_CHARS - 1]
+    body = text[: -CHECK_CHARS - 1]
     if not hmac.compare_digest(_check(body), found[3]):
         raise BadKey("mistyped: the checksum does not fit")
     name = _number(found[1])
--- a/tamarindfold/identity/state.py
+++ b/tamarindfold/identity/state.py
@@ -7,8 +7,19 @@
 from ipaddress import ip_network
 
 from tamarindfold.identity.model import (
-    AddCustomer, Adopt, AnyChange, CredentialRow, CustomerRow, DefinePlan, Issue, Move, PlanRow, Retire,
-    Revoke, SetNetworks, SetPlan,
+    AddCustomer,
+    Adopt,
+    AnyChange,
+    CredentialRow,
+    CustomerRow,
+    DefinePlan,
+    Issue,
+    Move,
+    PlanRow,
+    Retire,
+    Revoke,
+    SetNetworks,
+    SetPlan,
 )
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._@:-]{0,95}")
@@ -114,8 +125,16 @@
             raise Refused(f"credential {change.credential}: no time from which it is good")
         owner = self._customer(change.customer).number
         self.credentials[change.credential] = CredentialRow(
-            change.name, change.credential, change.kind, change.digest, owner, owner, from_ms=change.from_ms,
-            issued_ms=at_ms, note=change.note)
+            change.name,
+            change.credential,
+            change.kind,
+            change.digest,
+            owner,
+            owner,
+            from_ms=change.from_ms,
+            issued_ms=at_ms,
+            note=change.note,
+        )
         self.by_name[change.name] = change.credential
         return change.name
 
--- a/tamarindfold/identity/store.py
+++ b/tamarindfold/identity/store.py
@@ -49,8 +49,9 @@
 class Store:
     """The log, and the state it folds to. One writer at a time; others wait."""
 
-    def __init__(self, path: Path, create: bool = False,
-                 step: Callable[[str], None] = lambda _: None) -> None:
+    def __init__(
+        self, path: Path, create: bool = False, step: Callable[[str], None] = lambda _: None
+    ) -> None:
         """step is called at each point of a commit: a test ends the process there."""
         self.path, self.step = path, step
         if not create and not path.exists():
@@ -79,8 +80,8 @@
         before = self.history.state.version
         try:
             for version, at_ms, body, chain in self.db.execute(
-                    "SELECT version, at_ms, body, chain FROM log WHERE version > ? ORDER BY version",
-                    (before,)):
+                "SELECT version, at_ms, body, chain FROM log WHERE version > ? ORDER BY version", (before,)
+            ):
                 expected = _chain(self.last_chain, version, at_ms, body)
                 if version != self.history.state.version + 1 or chain != expected:
                     raise StoreError(f"{self.path}: the log is broken at version {version}")
@@ -140,7 +141,9 @@
             self.db.executemany(
                 "INSERT INTO use VALUES (?, ?, ?, ?, ?) ON CONFLICT (credential, network) DO UPDATE SET "
                 "first_ms = min(first_ms, excluded.first_ms), last_ms = max(last_ms, excluded.last_ms), "
-                "requests = requests + excluded.requests", uses)
+                "requests = requests + excluded.requests",
+                uses,
+            )
 
     def uses(self) -> list[tuple[str, str, float, float, int]]:
         """All that was noted."""
--- a/tamarindfold/identity/tables.py
+++ b/tamarindfold/identity/tables.py
@@ -82,8 +82,16 @@
 
 def credential(row: CredentialRow) -> Credential:
     """An instance's view of a credential."""
-    return Credential(row.name, row.digest, row.customer, row.next_customer, row.moved_at_ms, row.from_ms,
-                      row.ends_ms, REVOKED if row.revoked else 0)
+    return Credential(
+        row.name,
+        row.digest,
+        row.customer,
+        row.next_customer,
+        row.moved_at_ms,
+        row.from_ms,
+        row.ends_ms,
+        REVOKED if row.revoked else 0,
+    )
 
 
 def customer(row: CustomerRow) -> Customer:
@@ -100,12 +108,19 @@
     rows, customers = list(state.credentials.values()), state.by_number
     names, index = build(row.name for row in rows)
     columns = Columns(
-        names, index, b"".join(row.digest for row in rows),
-        _column("I", (row.customer for row in rows)), _column("I", (row.next_customer for row in rows)),
-        _column("d", (row.moved_at_ms for row in rows)), _column("d", (row.from_ms for row in rows)),
-        _column("d", (row.ends_ms for row in rows)), bytes(REVOKED if row.revoked else 0 for row in rows),
-        _column("I", (row.plan for row in customers)), _column("I", (row.next_plan for row in customers)),
-        _column("d", (row.change_at_ms for row in customers)))
+        names,
+        index,
+        b"".join(row.digest for row in rows),
+        _column("I", (row.customer for row in rows)),
+        _column("I", (row.next_customer for row in rows)),
+        _column("d", (row.moved_at_ms for row in rows)),
+        _column("d", (row.from_ms for row in rows)),
+        _column("d", (row.ends_ms for row in rows)),
+        bytes(REVOKED if row.revoked else 0 for row in rows),
+        _column("I", (row.plan for row in customers)),
+        _column("I", (row.next_plan for row in customers)),
+        _column("d", (row.change_at_ms for row in customers)),
+    )
     return Snapshot(state.epoch, state.version, chain, tuple(state.plans), columns)
 
 
@@ -132,10 +147,22 @@
         except ValueError as error:
             raise BadTables(f"columns: {error}") from None
         rows, customers = len(self.keys), len(self.plan)
-        same = [len(x) for x in (self.customers, self.next_customers, self.moved_at, self.from_ms,
-                                 self.ends_ms, self.flags)]
-        if same != [rows] * 6 or len(self.digests) != 16 * rows or not (
-                len(self.next_plan) == len(self.change_at) == customers):
+        same = [
+            len(x)
+            for x in (
+                self.customers,
+                self.next_customers,
+                self.moved_at,
+                self.from_ms,
+                self.ends_ms,
+                self.flags,
+            )
+        ]
+        if (
+            same != [rows] * 6
+            or len(self.digests) != 16 * rows
+            or not (len(self.next_plan) == len(self.change_at) == customers)
+        ):
             raise BadTables("columns of different lengths")
         self.changed: dict[int, Credential] = {}
         self.changed_customers: dict[int, Customer] = {}
@@ -143,11 +170,15 @@
     def apply(self, delta: Delta) -> None:
         """Take in a delta that reaches from this version or an earlier one to a later; its rows are whole, so
         that what it repeats does no harm. BadTables leaves everything as it was."""
-        new_plans = delta.plans[len(self.plans) - delta.plans_before:]
-        if (delta.epoch != self.epoch or not delta.after <= self.version < delta.version
-                or not 0 <= len(self.plans) - delta.plans_before <= len(delta.plans)):
-            raise BadTables(f"a delta after {delta.epoch}.{delta.after} does not follow on "
-                            f"{self.epoch}.{self.version}")
+        new_plans = delta.plans[len(self.plans) - delta.plans_before :]
+        if (
+            delta.epoch != self.epoch
+            or not delta.after <= self.version < delta.version
+            or not 0 <= len(self.plans) - delta.plans_before <= len(delta.plans)
+        ):
+            raise BadTables(
+                f"a delta after {delta.epoch}.{delta.after} does not follow on {self.epoch}.{self.version}"
+            )
         most = len(self.plans) + len(new_plans)
         if any(max(row.plan, row.next_plan) >= most for row in delta.customers):
             raise BadTables("a customer on a plan that is not there")
@@ -163,9 +194,16 @@
         at = self.keys.find(name)
         if at < 0:
             return None
-        return Credential(name, self.digests[16 * at:16 * at + 16], self.customers[at],
-                          self.next_customers[at], self.moved_at[at], self.from_ms[at], self.ends_ms[at],
-                          self.flags[at])
+        return Credential(
+            name,
+            self.digests[16 * at : 16 * at + 16],
+            self.customers[at],
+            self.next_customers[at],
+            self.moved_at[at],
+            self.from_ms[at],
+            self.ends_ms[at],
+            self.flags[at],
+        )
 
     def customer(self, number: int) -> Customer | None:
         """A customer by its number."""
--- a/tamarindfold/identity/wire.py
+++ b/tamarindfold/identity/wire.py
@@ -33,10 +33,20 @@
 Body = Snapshot | Delta | Unchanged
 
 _FIGURES = PlanFigures.__struct_fields__
-_COLUMNS = {"names": "names", "index": "index", "digests": "digests", "customers": "customers",
-            "next_customers": "next_customers", "moved_at": "moved_at_ms", "from_ms": "from_ms",
-            "ends_ms": "ends_ms", "flags": "flags", "customer_plans": "customer_plans",
-            "customer_next": "customer_next", "customer_change": "customer_change_ms"}
+_COLUMNS = {
+    "names": "names",
+    "index": "index",
+    "digests": "digests",
+    "customers": "customers",
+    "next_customers": "next_customers",
+    "moved_at": "moved_at_ms",
+    "from_ms": "from_ms",
+    "ends_ms": "ends_ms",
+    "flags": "flags",
+    "customer_plans": "customer_plans",
+    "customer_next": "customer_next",
+    "customer_change": "customer_change_ms",
+}
 
 
 def _plan(row: PlanRow) -> pb.Plan:
@@ -51,8 +61,9 @@
 def seal(data: bytes, key: Ed25519PrivateKey, purpose: bytes) -> bytes:
     """Data in a signed envelope; the purpose is signed too, so that no envelope passes for another kind."""
     checksum = hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).digest()
-    return pb.Envelope(update=data, checksum=checksum, signature=key.sign(purpose + checksum)
-                       ).SerializeToString()
+    return pb.Envelope(
+        update=data, checksum=checksum, signature=key.sign(purpose + checksum)
+    ).SerializeToString()
 
 
 def unseal(data: bytes, key: Ed25519PublicKey, purpose: bytes) -> bytes:
@@ -74,24 +85,49 @@
     update = pb.Update(made_at_ms=made_at_ms)
     match body:
         case Snapshot():
-            update.snapshot.CopyFrom(pb.Snapshot(
-                epoch=body.epoch, version=body.version, chain=body.chain,
-                plans=[_plan(row) for row in body.plans],
-                **{sent: getattr(body.columns, ours) for ours, sent in _COLUMNS.items()}))
+            update.snapshot.CopyFrom(
+                pb.Snapshot(
+                    epoch=body.epoch,
+                    version=body.version,
+                    chain=body.chain,
+                    plans=[_plan(row) for row in body.plans],
+                    **{sent: getattr(body.columns, ours) for ours, sent in _COLUMNS.items()},
+                )
+            )
         case Delta():
-            update.delta.CopyFrom(pb.Delta(
-                epoch=body.epoch, after=body.after, version=body.version, chain=body.chain,
-                plans_before=body.plans_before,
-                plans=[_plan(row) for row in body.plans],
-                credentials=[pb.Credential(
-                    name=c.name, digest=c.digest, customer=c.customer, next_customer=c.next_customer,
-                    moved_at_ms=c.moved_at_ms, from_ms=c.from_ms, ends_ms=c.ends_ms, flags=c.flags)
-                    for c in body.credentials],
-                customers=[pb.Customer(number=c.number, plan=c.plan, next_plan=c.next_plan,
-                                       change_at_ms=c.change_at_ms) for c in body.customers]))
+            update.delta.CopyFrom(
+                pb.Delta(
+                    epoch=body.epoch,
+                    after=body.after,
+                    version=body.version,
+                    chain=body.chain,
+                    plans_before=body.plans_before,
+                    plans=[_plan(row) for row in body.plans],
+                    credentials=[
+                        pb.Credential(
+                            name=c.name,
+                            digest=c.digest,
+                            customer=c.customer,
+                            next_customer=c.next_customer,
+                            moved_at_ms=c.moved_at_ms,
+                            from_ms=c.from_ms,
+                            ends_ms=c.ends_ms,
+                            flags=c.flags,
+                        )
+                        for c in body.credentials
+                    ],
+                    customers=[
+                        pb.Customer(
+                            number=c.number, plan=c.plan, next_plan=c.next_plan, change_at_ms=c.change_at_ms
+                        )
+                        for c in body.customers
+                    ],
+                )
+            )
         case Unchanged():
-            update.unchanged.CopyFrom(pb.Unchanged(epoch=body.epoch, version=body.version,
-                                                    other_past=body.other_past))
+            update.unchanged.CopyFrom(
+                pb.Unchanged(epoch=body.epoch, version=body.version, other_past=body.other_past)
+            )
     return seal(update.SerializeToString(), key, SIGNED)
 
 
@@ -110,9 +146,25 @@
         case "delta":
             d = update.delta
             return Delta(
-                d.epoch, d.after, d.version, d.chain, d.plans_before, tuple(map(_plan_row, d.plans)),
-                tuple(Credential(c.name, c.digest, c.customer, c.next_customer, c.moved_at_ms, c.from_ms,
-                                 c.ends_ms, c.flags) for c in d.credentials),
+                d.epoch,
+                d.after,
+                d.version,
+                d.chain,
+                d.plans_before,
+                tuple(map(_plan_row, d.plans)),
+                tuple(
+                    Credential(
+                        c.name,
+                        c.digest,
+                        c.customer,
+                        c.next_customer,
+                        c.moved_at_ms,
+                        c.from_ms,
+                        c.ends_ms,
+                        c.flags,
+                    )
+                    for c in d.credentials
+                ),
                 tuple(Customer(c.number, c.plan, c.next_plan, c.change_at_ms) for c in d.customers),
             ), update.made_at_ms
         case "unchanged":
--- a/tamarindfold/ingress/admin.py
+++ b/tamarindfold/ingress/admin.py
@@ -62,8 +62,10 @@
         if path == "/health":
             age_ms = (time.monotonic() - self.ingress.turned_at) * 1000
             turns = age_ms < self.config.stale_ms
-            return (200 if turns else 503), {"status": "ok" if turns else "the loop stands still",
-                                             "turned_ms_ago": round(age_ms)}
+            return (200 if turns else 503), {
+                "status": "ok" if turns else "the loop stands still",
+                "turned_ms_ago": round(age_ms),
+            }
         if path == "/ready":
             why = self.ingress.ready
             return (503 if why else 200), {"status": why or "ready"}
--- a/tamarindfold/ingress/admission.py
+++ b/tamarindfold/ingress/admission.py
@@ -18,8 +18,9 @@
 _NAME = re.compile(rb"[A-Za-z0-9._-]{1,64}")
 _NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,3})?")
 _KEY = re.compile(rb"[\x21-\x7e]{1,255}")
-_OWN_WORD = frozenset((names.REQUEST, names.UNITS, names.RETRY, names.TIME_LEFT, names.IDEMPOTENCY_KEY,
-                       b"authorization"))
+_OWN_WORD = frozenset(
+    (names.REQUEST, names.UNITS, names.RETRY, names.TIME_LEFT, names.IDEMPOTENCY_KEY, b"authorization")
+)
 _NOT_PASSED = HOP_BY_HOP | {b"host", b"authorization", b"expect"}
 CUSTOMER_BITS = 33  # what the module's counter names have room for
 
@@ -102,8 +103,17 @@
         kept = passed_on(request.headers)
         if self.key_header:
             kept = [pair for pair in kept if pair[0] != self.key_header]
-        return Asked(target.cls, target.scopes, name, units, retry == b"1", left, found.get(b"authorization"),
-                     found.get(self.key_header), kept)
+        return Asked(
+            target.cls,
+            target.scopes,
+            name,
+            units,
+            retry == b"1",
+            left,
+            found.get(b"authorization"),
+            found.get(self.key_header),
+            kept,
+        )
 
     def who(self, claims: Claims, scopes: frozenset[str]) -> tuple[int, int]:
         """Customer and plan of a token; Forbidden where it has not the scope or names neither."""
--- a/tamarindfold/ingress/agreed.py
+++ b/tamarindfold/ingress/agreed.py
@@ -43,8 +43,15 @@
         keepers = [split_address(keeper, f"keepers[{i}]") for i, keeper in enumerate(section.keepers)]
         try:
             self.agreement = Agreement(
-                section.name, keepers, public_key(Path(section.public_key)), Path(folder) if folder else None,
-                local.upstream.source_address, self.changed, log, local.instance.zone)
+                section.name,
+                keepers,
+                public_key(Path(section.public_key)),
+                Path(folder) if folder else None,
+                local.upstream.source_address,
+                self.changed,
+                log,
+                local.instance.zone,
+            )
         except Taken as error:
             raise NotAgreed(str(error)) from None
 
@@ -56,8 +63,11 @@
                 gevent.sleep(LOOK_S)
         acting = self.agreement.acting()
         if acting is None or not acting.share:
-            reason = self.agreement.hindrance or ("no keeper answered, and there is no copy on disk" if acting
-                                                  is None else f"no place in the roster: {acting.why}")
+            reason = self.agreement.hindrance or (
+                "no keeper answered, and there is no copy on disk"
+                if acting is None
+                else f"no place in the roster: {acting.why}"
+            )
             self.agreement.stop()
             raise NotAgreed(reason)
         try:
@@ -132,13 +142,27 @@
             config = merged(self.local, cautious(self.good), acting.gateways, acting.index)
         self.ingress.settle(config, led, newcomer)
         if before is None or (before.version, before.led, before.gateways, before.index) != (
-                acting.version, acting.led, acting.gateways, acting.index):
-            self.log("agreement.acting", version=acting.version, led=acting.led, gateways=acting.gateways,
-                     index=acting.index, number=acting.number, why=acting.why)
+            acting.version,
+            acting.led,
+            acting.gateways,
+            acting.index,
+        ):
+            self.log(
+                "agreement.acting",
+                version=acting.version,
+                led=acting.led,
+                gateways=acting.gateways,
+                index=acting.index,
+                number=acting.number,
+                why=acting.why,
+            )
 
     def counts(self) -> dict[str, Any]:
         """For the log."""
         lease = self.agreement.lease
         return self.agreement.counts | {
-            "version": lease.state.version, "number": lease.state.number, "led": lease.led,
-            "share": round(lease.share, 6)}
+            "version": lease.state.version,
+            "number": lease.state.number,
+            "led": lease.led,
+            "share": round(lease.share, 6),
+        }
--- a/tamarindfold/ingress/answers.py
+++ b/tamarindfold/ingress/answers.py
@@ -25,28 +25,54 @@
 }
 
 
-def _problem(status: int, title: str, detail: str, outcome: bytes, name: bytes, keep_alive: bool,
-             headers: Headers | None = None, no_body: bool = False, **members: float) -> bytes:
+def _problem(
+    status: int,
+    title: str,
+    detail: str,
+    outcome: bytes,
+    name: bytes,
+    keep_alive: bool,
+    headers: Headers | None = None,
+    no_body: bool = False,
+    **members: float,
+) -> bytes:
     body = msgspec.json.encode(
-        {"type": "about:blank", "title": title, "status": status, "detail": detail,
-         "outcome": outcome.decode(), "request": name.decode()} | members)
+        {
+            "type": "about:blank",
+            "title": title,
+            "status": status,
+            "detail": detail,
+            "outcome": outcome.decode(),
+            "request": name.decode(),
+        }
+        | members
+    )
     own = [(b"content-type", b"application/problem+json"), (names.OUTCOME, outcome), *(headers or [])]
     if name:
         own.append((names.REQUEST, name))
     return write.response(status, own, body, keep_alive, no_body)
 
 
-def refused(status: int, title: str, detail: str, retry_after_ms: float, name: bytes, keep_alive: bool,
-            no_body: bool = False) -> bytes:
+def refused(
+    status: int,
+    title: str,
+    detail: str,
+    retry_after_ms: float,
+    name: bytes,
+    keep_alive: bool,
+    no_body: bool = False,
+) -> bytes:
     """A refusal: nothing ran. Retry-After is in whole seconds (RFC 9110 10.2.3), rounded up."""
     wait = max(1, ceil(retry_after_ms))
     headers = [(b"retry-after", b"%d" % ceil(wait / 1000)), (names.RETRY_AFTER_MS, b"%d" % wait)]
-    return _problem(status, title, detail, b"refused", name, keep_alive, headers, no_body,
-                    retry_after_ms=wait)
+    return _problem(
+        status, title, detail, b"refused", name, keep_alive, headers, no_body, retry_after_ms=wait
+    )
 
 
-def unauthorized(status: int, error: str, detail: str, name: bytes, keep_alive: bool,
-                 scope: str = "") -> bytes:
+def unauthorized(
+    status: int, error: str, detail: str, name: bytes, keep_alive: bool, scope: str = ""
+) -> bytes:
     """400, 401 or 403 with the challenge that RFC 6750 section 3 words."""
     title = {400: "Bad credentials", 401: "Unauthorized", 403: "Forbidden"}[status]
     headers = [(b"www-authenticate", challenge(REALM, error, detail if error else "", scope))]
@@ -60,8 +86,9 @@
 
 def forbidden(fault: Forbidden, name: bytes, keep_alive: bool) -> bytes:
     """A good token that does not open this door."""
-    return unauthorized(403, "insufficient_scope" if fault.scope else "", fault.detail, name, keep_alive,
-                        fault.scope)
+    return unauthorized(
+        403, "insufficient_scope" if fault.scope else "", fault.detail, name, keep_alive, fault.scope
+    )
 
 
 def final(answer: Final, name: bytes, keep_alive: bool, no_body: bool = False) -> bytes:
@@ -75,8 +102,16 @@
             return refused(code, title, detail, retry_after_ms, name, keep_alive, no_body)
         case Failed(late):
             code, title = (504, "No answer in time") if late else (502, "The server failed")
-            return _problem(code, title, "Whether the request ran is not known.", b"failed", name, keep_alive,
-                            None, no_body)
+            return _problem(
+                code,
+                title,
+                "Whether the request ran is not known.",
+                b"failed",
+                name,
+                keep_alive,
+                None,
+                no_body,
+            )
         case Expired():
             return unauthorized(401, "invalid_token", "the token has expired", name, keep_alive)
     return b""
--- a/tamarindfold/ingress/background.py
+++ b/tamarindfold/ingress/background.py
@@ -25,9 +25,15 @@
         self.scheduler, self.log = Scheduler(part), log
         self._greenlet: gevent.Greenlet | None = None
 
-    def add(self, name: str, begin: Callable[[], Iterator[float | None] | None], every_ms: float,
-            priority: int = 0) -> Job:
+    def add(
+        self,
+        name: str,
+        begin: Callable[[], Iterator[float | None] | None],
+        every_ms: float,
+        priority: int = 0,
+    ) -> Job:
         """A job: `begin` gives an iterator of slices, or does it all at once and gives None."""
+
         def work() -> Iterator[float | None]:
             slices = begin()
             if slices is not None:
@@ -62,6 +68,13 @@
 
     def counts(self) -> dict[str, dict[str, float]]:
         """By job: runs, slices, the longest slice and the whole time in milliseconds."""
-        return {job.name: {"runs": job.runs, "slices": job.slices, "failed": job.failed,
-                           "longest_ms": round(job.longest_ms, 3), "took_ms": round(job.took_ms, 1)}
-                for job in self.scheduler.jobs}
+        return {
+            job.name: {
+                "runs": job.runs,
+                "slices": job.slices,
+                "failed": job.failed,
+                "longest_ms": round(job.longest_ms, 3),
+                "took_ms": round(job.took_ms, 1),
+            }
+            for job in self.scheduler.jobs
+        }
--- a/tamarindfold/ingress/clock.py
+++ b/tamarindfold/ingress/clock.py
@@ -11,8 +11,9 @@
 class SteadyClock:
     """Milliseconds since the epoch that never go back: a monotonic clock drawn slowly to the wall clock."""
 
-    def __init__(self, monotonic: Callable[[], float] = time.monotonic,
-                 wall: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self, monotonic: Callable[[], float] = time.monotonic, wall: Callable[[], float] = time.time
+    ) -> None:
         self._monotonic, self._wall = monotonic, wall
         self._at = monotonic()
         self._base_ms = wall() * 1000
--- a/tamarindfold/ingress/connection.py
+++ b/tamarindfold/ingress/connection.py
@@ -73,8 +73,16 @@
 class Listener:
     """What the connections of one front share."""
 
-    def __init__(self, limits: Bounds, core: Core, words: Words, timers: Timers,
-                 clock: Callable[[], float], log: Callable[..., None], connections: int) -> None:
+    def __init__(
+        self,
+        limits: Bounds,
+        core: Core,
+        words: Words,
+        timers: Timers,
+        clock: Callable[[], float],
+        log: Callable[..., None],
+        connections: int,
+    ) -> None:
         """connections: so many are accepted at the most."""
         self.limits, self.core, self.words = limits, core, words
         self.timers, self.clock, self.log = timers, clock, log
@@ -85,8 +93,9 @@
         self.held = 0  # requests taken and not yet answered
         self.reading: dict[ClientConnection, None] = {}  # connections that wait for a request or for its rest
         self.idle: dict[ClientConnection, float] = {}  # those of them without a byte of it, and since when
-        self.counts = dict.fromkeys(("connections", "requests", "rejected", "full", "overdue", "ahead",
-                                     "ahead_full"), 0)
+        self.counts = dict.fromkeys(
+            ("connections", "requests", "rejected", "full", "overdue", "ahead", "ahead_full"), 0
+        )
 
     def serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
         """One client connection, from accept to close."""
--- a/tamarindfold/ingress/core.py
+++ b/tamarindfold/ingress/core.py
@@ -18,27 +18,61 @@
 
 from tamarindfold.choice import Gateway
 from tamarindfold.ingress.exchange import (
-    Exchange, Expired, Failed, Final, Lapsed, Left, Refused, Served,
+    Exchange,
+    Expired,
+    Failed,
+    Final,
+    Lapsed,
+    Left,
+    Refused,
+    Served,
 )
 from tamarindfold.interface import (
-    AttemptEnded, BackendEntry, BackendState, Cancel, Count, CountAnswered, Event, Fail, FleetUpdate,
-    ListKind, Log, Outcome, Refuse, RequestArrived, RequestWithdrawn, Send, SetTimer, Settings,
-    SettingsChanged, StoodStill, TimerFired, UsePassed, Why,
+    AttemptEnded,
+    BackendEntry,
+    BackendState,
+    Cancel,
+    Count,
+    CountAnswered,
+    Event,
+    Fail,
+    FleetUpdate,
+    ListKind,
+    Log,
+    Outcome,
+    Refuse,
+    RequestArrived,
+    RequestWithdrawn,
+    Send,
+    SetTimer,
+    Settings,
+    SettingsChanged,
+    StoodStill,
+    TimerFired,
+    UsePassed,
+    Why,
 )
 from tamarindfold.limits.open import OpenLimits
 
 SETTLE_S = 0.003  # after a standstill: long enough for all that lies on sockets to be read
 
 
-_KINDS: dict[type[Final], str] = {Served: "served", Refused: "refused", Failed: "failed", Expired: "expired",
-                                  Left: "left", Lapsed: "lapsed"}
+_KINDS: dict[type[Final], str] = {
+    Served: "served",
+    Refused: "refused",
+    Failed: "failed",
+    Expired: "expired",
+    Left: "left",
+    Lapsed: "lapsed",
+}
 
 
 class Sender(Protocol):
     """What starts and stops attempts."""
 
-    def start(self, exchange: Exchange, attempt: int, entry: BackendEntry | None, backend: int,
-              timeout_ms: float) -> None:
+    def start(
+        self, exchange: Exchange, attempt: int, entry: BackendEntry | None, backend: int, timeout_ms: float
+    ) -> None:
         """Begin an attempt; Core.attempt_ended is owed once, whatever happens."""
 
     def cancel(self, request: int, attempt: int) -> None:
@@ -67,8 +101,13 @@
 class Core:
     """Hands events to the module in order and carries out what it answers; never re-entered."""
 
-    def __init__(self, gateway: Gateway, clock: Callable[[], float], log: Callable[..., None],
-                 stall_ms: float = math.inf) -> None:
+    def __init__(
+        self,
+        gateway: Gateway,
+        clock: Callable[[], float],
+        log: Callable[..., None],
+        stall_ms: float = math.inf,
+    ) -> None:
         self.gateway, self.clock, self.log = gateway, clock, log
         self.sender: Sender | None = None
         self.count: Callable[[Count], None] | None = None
@@ -91,8 +130,23 @@
         self.numbers = 0
         self.limits = OpenLimits(gateway.settings.gateways, gateway.settings.index)
         self.counts = dict.fromkeys(
-            ("arrived", "served", "refused", "failed", "expired", "left", "left_unsent", "left_sent",
-             "lapsed", "attempts", "moot", "stalls", *(f"refused_{why.value}" for why in Why)), 0)
+            (
+                "arrived",
+                "served",
+                "refused",
+                "failed",
+                "expired",
+                "left",
+                "left_unsent",
+                "left_sent",
+                "lapsed",
+                "attempts",
+                "moot",
+                "stalls",
+                *(f"refused_{why.value}" for why in Why),
+            ),
+            0,
+        )
 
     def requests(self) -> dict[str, float]:
         """What became of the requests, for the log; the units of the module's account among it."""
@@ -108,15 +162,25 @@
         gateways = self.gateway.settings.gateways
         if limit := self.gateway.settings.plans[exchange.plan].open_limit:
             now = self.clock()
-            wait = self.limits.take(exchange.number, exchange.customer, limit, exchange.width, now,
-                                    exchange.deadline_ms)
+            wait = self.limits.take(
+                exchange.number, exchange.customer, limit, exchange.width, now, exchange.deadline_ms
+            )
             if wait is not None:
                 self._finish(exchange, Refused(wait, Why.OPEN))
                 return
-        self.post(RequestArrived(
-            exchange.number, exchange.customer, exchange.plan, exchange.cls, exchange.units,
-            exchange.customer % gateways if exchange.first is None else exchange.first, exchange.width,
-            max(0.0, exchange.give_up_ms - self.clock()), exchange.retry))
+        self.post(
+            RequestArrived(
+                exchange.number,
+                exchange.customer,
+                exchange.plan,
+                exchange.cls,
+                exchange.units,
+                exchange.customer % gateways if exchange.first is None else exchange.first,
+                exchange.width,
+                max(0.0, exchange.give_up_ms - self.clock()),
+                exchange.retry,
+            )
+        )
 
     def withdraw(self, exchange: Exchange, final: Final) -> None:
         """The request ends from outside the module: its client left, its token or its time ran out."""
@@ -126,17 +190,28 @@
             self.withdrawn[exchange.number] = exchange
             self.post(RequestWithdrawn(exchange.number))
 
-    def attempt_ended(self, exchange: Exchange, attempt: int, backend: int, outcome: Outcome,
-                      elapsed_ms: float, served: Served | None = None, true_units: float = 0.0,
-                      report: tuple[float, ...] = ()) -> None:
+    def attempt_ended(
+        self,
+        exchange: Exchange,
+        attempt: int,
+        backend: int,
+        outcome: Outcome,
+        elapsed_ms: float,
+        served: Served | None = None,
+        true_units: float = 0.0,
+        report: tuple[float, ...] = (),
+    ) -> None:
         """The one outcome of an attempt; the first ok answers the client by itself."""
         if outcome is Outcome.MOOT:
             self.counts["moot"] += 1
         if served is not None:
             self._finish(exchange, served)
         over = exchange.final is not None
-        self.post(AttemptEnded(exchange.number, attempt, backend, outcome, elapsed_ms, over, None, true_units,
-                               report))
+        self.post(
+            AttemptEnded(
+                exchange.number, attempt, backend, outcome, elapsed_ms, over, None, true_units, report
+            )
+        )
 
     def fleet_news(self, update: FleetUpdate) -> None:
         """The list changed. What is sent from now on goes by it, whatever the module had chosen before."""
@@ -220,8 +295,11 @@
             return "draining or gone"
         if now_listed.up_since_ms != entry.up_since_ms:
             return "another process"  # cold, where the module counted on a warm one
-        revoked = (exchange.known is not None and self.still_known is not None
-                   and not self.still_known(exchange.known))
+        revoked = (
+            exchange.known is not None
+            and self.still_known is not None
+            and not self.still_known(exchange.known)
+        )
         if revoked or self.clock() >= exchange.token_until_ms:
             # nothing ran: the client is to bring a new token; else nobody can tell it that all is well
             self.withdraw(exchange, Failed(False) if exchange.written else Expired())
@@ -258,16 +336,20 @@
                     return
                 attempt, exchange.attempts = exchange.attempts, exchange.attempts + 1
                 self.counts["attempts"] += 1
-                if (self.recorder is not None and not attempt
-                        and self.gateway.settings.plans[exchange.plan].ceiling_rate):
+                if (
+                    self.recorder is not None
+                    and not attempt
+                    and self.gateway.settings.plans[exchange.plan].ceiling_rate
+                ):
                     self.recorder.spent(exchange.customer, exchange.plan, exchange.width, exchange.units)
                 assert self.sender is not None
                 self.sender.start(exchange, attempt, self.fleet.get(backend), backend, timeout_ms)
             case Refuse(request, retry_after_ms, why):
                 if (exchange := self.open.get(request)) is not None:
                     if self.recorder is not None:
-                        self.recorder.refused(exchange.customer, exchange.plan, exchange.width,
-                                              self.now + retry_after_ms)
+                        self.recorder.refused(
+                            exchange.customer, exchange.plan, exchange.width, self.now + retry_after_ms
+                        )
                     self._finish(exchange, Refused(retry_after_ms, why))
             case Fail(request):
                 if (exchange := self.open.get(request)) is not None:
--- a/tamarindfold/ingress/door.py
+++ b/tamarindfold/ingress/door.py
@@ -50,8 +50,13 @@
 class Door:
     """The one order in which credentials are looked at."""
 
-    def __init__(self, config: GatewayConfig, introspector: Introspector, identity: Identity | None,
-                 log: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        config: GatewayConfig,
+        introspector: Introspector,
+        identity: Identity | None,
+        log: Callable[..., None],
+    ) -> None:
         self.settle(config, True)
         self.introspector, self.identity, self.log = introspector, identity, log
         self.told: OrderedDict[str, None] = OrderedDict()
