--- a/tamarindfold/ingress/forward.py
+++ b/tamarindfold/ingress/forward.py
@@ -58,8 +58,16 @@
 class ForwardFront(Front):
     """Answers proxies' sub-requests and takes their reports."""
 
-    def __init__(self, config: GatewayConfig, core: Core, door: Door, timers: Timers,
-                 clock: Callable[[], float], log: Callable[..., None], number: int) -> None:
+    def __init__(
+        self,
+        config: GatewayConfig,
+        core: Core,
+        door: Door,
+        timers: Timers,
+        clock: Callable[[], float],
+        log: Callable[..., None],
+        number: int,
+    ) -> None:
         section = config.forward
         assert section is not None
         super().__init__(config, core, door, timers, clock, log, number, section.connections)
@@ -68,9 +76,11 @@
         self.names = Names.of(told.method, told.uri, told.host, section.prefix, section.hosts)
         self.name_header = told.request.lower().encode()
         self.permits: Permits[Permit, Decision] = Permits(
-            number, section.most_permits, section.most_repeats, section.most_remembered, section.remember_ms)
-        self.gate = Gate([c.worth for c in config.classes], section.most_deciding, section.decide_ms,
-                         config.instance.seed)
+            number, section.most_permits, section.most_repeats, section.most_remembered, section.remember_ms
+        )
+        self.gate = Gate(
+            [c.worth for c in config.classes], section.most_deciding, section.decide_ms, config.instance.seed
+        )
         self.index = b"%d" % number
         self.chooses = section.form == "report"
         self.connection = _Sub
@@ -104,16 +114,18 @@
             self.core.withdraw(permit.attempt.exchange, Lapsed())
             self._end(permit, Outcome.CANCELLED, 0.0, None, 0.0)
 
-    def _end(self, permit: Permit, how: Outcome, elapsed_ms: float, served: Served | None,
-             units: float) -> None:
+    def _end(
+        self, permit: Permit, how: Outcome, elapsed_ms: float, served: Served | None, units: float
+    ) -> None:
         attempt = permit.attempt
         assert self.core.sender is not None
         self.core.sender.forget(attempt)
         if units > self.core.gateway.settings.most_units:
             self.log("forward.bad_units", value=units)
             units = 0.0
-        self.core.attempt_ended(attempt.exchange, attempt.number, attempt.backend, how, elapsed_ms, served,
-                                units)
+        self.core.attempt_ended(
+            attempt.exchange, attempt.number, attempt.backend, how, elapsed_ms, served, units
+        )
 
 
 class _Sub(TokenConnection):
@@ -175,8 +187,9 @@
         for one in told:
             counts[one.value] = counts.get(one.value, 0) + 1
         status = _TOLD.get(told[0], 200) if len(told) == 1 else 200  # a shipper must not send a batch again
-        return write.response(status, [(b"content-type", b"application/json")], msgspec.json.encode(counts),
-                              self.keep)
+        return write.response(
+            status, [(b"content-type", b"application/json")], msgspec.json.encode(counts), self.keep
+        )
 
     # ---- what it is answered
 
@@ -205,8 +218,11 @@
         front, name = self.front, exchange.name.decode()
         decision = Decision(Event())
         # a name that only the client gave is no sign of a repeat: it would be a way past the quota
-        what = ((exchange.customer, exchange.cls, exchange.units, exchange.method, exchange.target)
-                if self.named else object())
+        what = (
+            (exchange.customer, exchange.cls, exchange.units, exchange.method, exchange.target)
+            if self.named
+            else object()
+        )
         while True:
             how, entry = front.permits.ask(name, what, decision, front.clock())
             if how is Ask.AGAIN and entry is not None and entry.permit is not None:
@@ -263,8 +279,9 @@
     def _made(self, decision: Decision, exchange: Exchange, name: str, final: Final) -> bytes:
         """Decided, and not to pass; what passed before by the proxy's own will is counted."""
         front = self.front
-        owed = front.permits.refuse(name, Owed(exchange.customer, exchange.plan, exchange.units),
-                                    front.clock())
+        owed = front.permits.refuse(
+            name, Owed(exchange.customer, exchange.plan, exchange.units), front.clock()
+        )
         if owed is not None:
             front.passed(owed)
         answer = self._refusal(exchange, final)
@@ -289,12 +306,16 @@
         front, now = self.front, self.front.clock()
         section, settings = front.section, front.core.gateway.settings
         own: Headers = [
-            (names.OUTCOME, b"permitted"), (names.REQUEST, exchange.name), (names.INSTANCE, front.index),
+            (names.OUTCOME, b"permitted"),
+            (names.REQUEST, exchange.name),
+            (names.INSTANCE, front.index),
             (names.CUSTOMER, b"%d" % exchange.customer),
             (names.CLASS, settings.classes[exchange.cls].name.encode()),
-            (names.PLAN, settings.plans[exchange.plan].name.encode()), (names.UNITS, b"%g" % exchange.units),
+            (names.PLAN, settings.plans[exchange.plan].name.encode()),
+            (names.UNITS, b"%g" % exchange.units),
             (names.TIME_LEFT, b"%d" % max(1, exchange.give_up_ms - now)),
-            *(pair for pair in exchange.headers if pair[0] == names.ZONE)]
+            *(pair for pair in exchange.headers if pair[0] == names.ZONE),
+        ]
         if front.chooses:
             host, port = backend_address(attempt.backend)
             own.append((names.SERVER, f"{host}:{port}".encode()))
--- a/tamarindfold/ingress/front.py
+++ b/tamarindfold/ingress/front.py
@@ -30,14 +30,25 @@
 class Front(Listener):
     """Serves client connections for one gateway."""
 
-    def __init__(self, config: GatewayConfig, core: Core, door: Door, timers: Timers,
-                 clock: Callable[[], float], log: Callable[..., None], number: int,
-                 connections: int) -> None:
+    def __init__(
+        self,
+        config: GatewayConfig,
+        core: Core,
+        door: Door,
+        timers: Timers,
+        clock: Callable[[], float],
+        log: Callable[..., None],
+        number: int,
+        connections: int,
+    ) -> None:
         super().__init__(config.limits, core, answers, timers, clock, log, connections)
         self.door = door
         self.prefix = b"%d-%x-" % (number, int(clock()))
-        self.networks = Networks((n.network, Rule(n.refuse, n.zone)) for n in config.networks
-                                 ) if config.networks else None
+        self.networks = (
+            Networks((n.network, Rule(n.refuse, n.zone)) for n in config.networks)
+            if config.networks
+            else None
+        )
         self.connection = TokenConnection
         self.counts |= dict.fromkeys(("unauthorized", "unchecked"), 0)
 
@@ -81,8 +92,9 @@
         except Unchecked as fault:
             front.counts["unchecked"] += 1
             self._in_doubt(name)
-            return answers.refused(503, "Credential not checked", fault.detail, fault.retry_after_ms, name,
-                                   self.keep)
+            return answers.refused(
+                503, "Credential not checked", fault.detail, fault.retry_after_ms, name, self.keep
+            )
         if front.clock() > deadline:  # the check took all the time there was: nobody waits any more
             front.counts["unchecked"] += 1
             return answers.refused(503, "Credential not checked", "the time ran out", 1.0, name, self.keep)
@@ -93,9 +105,23 @@
         if rule is not None and rule.zone is not None:
             headers.append((names.ZONE, b"%d" % rule.zone))
         return Exchange(
-            number, name, asked.cls, entry.customer, entry.plan, asked.units, front.width, asked.retry,
-            deadline, give_up, request.method, request.target, headers, request.body,
-            entry.until_ms, entry.known)
+            number,
+            name,
+            asked.cls,
+            entry.customer,
+            entry.plan,
+            asked.units,
+            front.width,
+            asked.retry,
+            deadline,
+            give_up,
+            request.method,
+            request.target,
+            headers,
+            request.body,
+            entry.until_ms,
+            entry.known,
+        )
 
     def _take_up(self, asked: Asked) -> None:
         """Raises Pressed where the front has no time for the request."""
--- a/tamarindfold/ingress/logs.py
+++ b/tamarindfold/ingress/logs.py
@@ -36,8 +36,11 @@
     """A function of an event's name and its fields; the fields never hold a token, a key or a body."""
     made = structlog.wrap_logger(
         structlog.PrintLogger(cast(TextIO, _Lines(sys.stderr))),
-        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.JSONRenderer()],
-        wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level])).bind(**bound)
+        processors=[
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.JSONRenderer(),
+        ],
+        wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
+    ).bind(**bound)
     log: Callable[..., None] = made.info
     return log
--- a/tamarindfold/ingress/pool.py
+++ b/tamarindfold/ingress/pool.py
@@ -46,9 +46,17 @@
 class Pool:
     """All connections of the gateway to its servers, by server, within bounds."""
 
-    def __init__(self, idle_ms: float, idle_per_server: int, connections_per_server: int,
-                 connect_timeout_ms: float, source_address: str, answer_bytes: int,
-                 clock: Callable[[], float], connections: int = sys.maxsize) -> None:
+    def __init__(
+        self,
+        idle_ms: float,
+        idle_per_server: int,
+        connections_per_server: int,
+        connect_timeout_ms: float,
+        source_address: str,
+        answer_bytes: int,
+        clock: Callable[[], float],
+        connections: int = sys.maxsize,
+    ) -> None:
         self.idle_ms, self.idle_per_server, self.most = idle_ms, idle_per_server, connections_per_server
         self.connect_s, self.answer_bytes, self.clock = connect_timeout_ms / 1000, answer_bytes, clock
         self.most_in_all, self.held = connections, 0
--- a/tamarindfold/ingress/routes.py
+++ b/tamarindfold/ingress/routes.py
@@ -35,7 +35,7 @@
         methods = self.exact.get(path := self.path(target))
         end = len(path)
         while methods is None and (end := path.rfind("/", 0, end)) >= 0:
-            methods = self.below.get(path[:end + 1])
+            methods = self.below.get(path[: end + 1])
         if methods is None:
             raise Rejected(404, "no route has this path")
         if (found := methods.get(method)) is None:
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -50,8 +50,13 @@
 class Ingress:
     """A running gateway."""
 
-    def __init__(self, config: GatewayConfig, log: Callable[..., None],
-                 make: Callable[[Settings, int], Gateway] = Gateway, number: int | None = None) -> None:
+    def __init__(
+        self,
+        config: GatewayConfig,
+        log: Callable[..., None],
+        make: Callable[[Settings, int], Gateway] = Gateway,
+        number: int | None = None,
+    ) -> None:
         """number: what names this instance in files and reports, where its index may change."""
         self.config, self.log = config, log
         self.number, self.agreed = config.instance.index if number is None else number, number is not None
@@ -60,22 +65,42 @@
         self.steady = SteadyClock()
         clock = self.steady.now
         up, look = config.upstream, config.introspection
-        self.core = Core(make(derive.settings(config), config.instance.seed), clock, log,
-                         config.instance.stall_ms)
-        self.pool = Pool(up.idle_ms, up.idle_per_server, up.connections_per_server, up.connect_timeout_ms,
-                         up.source_address, config.limits.answer_bytes, clock)
+        self.core = Core(
+            make(derive.settings(config), config.instance.seed), clock, log, config.instance.stall_ms
+        )
+        self.pool = Pool(
+            up.idle_ms,
+            up.idle_per_server,
+            up.connections_per_server,
+            up.connect_timeout_ms,
+            up.source_address,
+            config.limits.answer_bytes,
+            clock,
+        )
         self.timers = Timers(clock)
         servers = Servers(lambda: self.core.gateway.settings, log)
         self.core.sender = Upstream(self.core, self.pool, self.timers, servers, clock)
         self.introspector = Introspector(
-            look.url, look.client_id, look.secret(), checker_rules(look), look.connections, look.answer_bytes,
-            config.instance.seed, clock, log)
+            look.url,
+            look.client_id,
+            look.secret(),
+            checker_rules(look),
+            look.connections,
+            look.answer_bytes,
+            config.instance.seed,
+            clock,
+            log,
+        )
         self.identity = self._identity(config, clock) if config.identity is not None else None
         self.door = door = Door(config, self.introspector, self.identity, log)
-        self.front = Front(config, self.core, door, self.timers, clock, log, self.number,
-                           config.limits.connections)
-        self.forward = (ForwardFront(config, self.core, door, self.timers, clock, log, self.number)
-                        if config.forward is not None else None)
+        self.front = Front(
+            config, self.core, door, self.timers, clock, log, self.number, config.limits.connections
+        )
+        self.forward = (
+            ForwardFront(config, self.core, door, self.timers, clock, log, self.number)
+            if config.forward is not None
+            else None
+        )
         self.forward_listener: StreamServer | None = None
         self.admin = Admin(config.admin, self) if config.admin is not None else None
         self.turned_at = time.monotonic()
@@ -92,17 +117,33 @@
         section = config.identity
         assert section is not None
         made = Identity(
-            split_address(section.registry, "identity.registry"), public_key(Path(section.public_key)),
-            pepper(Path(section.pepper)), self._state_file("identity", "bin"), section.skew_ms,
-            section.wait_ms, section.reconnect_ms, config.upstream.source_address, clock, self._plans_came,
-            self.log)
+            split_address(section.registry, "identity.registry"),
+            public_key(Path(section.public_key)),
+            pepper(Path(section.pepper)),
+            self._state_file("identity", "bin"),
+            section.skew_ms,
+            section.wait_ms,
+            section.reconnect_ms,
+            config.upstream.source_address,
+            clock,
+            self._plans_came,
+            self.log,
+        )
         self.core.still_known = made.still
         return made
 
     def _recorder(self, config: GatewayConfig, clock: Callable[[], float]) -> Recorder:
         section = config.recovery
-        return Recorder(Path(config.instance.state_dir), self.number, self.core.gateway,
-                        section.max_age_ms, section.ahead_ms, clock, self.log, self.agreed)
+        return Recorder(
+            Path(config.instance.state_dir),
+            self.number,
+            self.core.gateway,
+            section.max_age_ms,
+            section.ahead_ms,
+            clock,
+            self.log,
+            self.agreed,
+        )
 
     def _restore(self) -> None:
         """Once the plans are known, and before the first request: what an earlier life left."""
@@ -115,8 +156,14 @@
 
     def _plans_came(self, rows: list[PlanRow]) -> None:
         """The registry's plans, for the module: each version has a place and a name of its own."""
-        self.core.post(PlansChanged(tuple(
-            derive.plan(row.figures, f"{row.plan}@{row.version}", place) for place, row in enumerate(rows))))
+        self.core.post(
+            PlansChanged(
+                tuple(
+                    derive.plan(row.figures, f"{row.plan}@{row.version}", place)
+                    for place, row in enumerate(rows)
+                )
+            )
+        )
         self._restore()
 
     def _state_file(self, what: str, kind: str) -> Path | None:
@@ -131,9 +178,13 @@
             self.core.fleet_news(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
         else:
             self.feed = FeedFollower(
-                split_address(config.fleet.feed, "fleet.feed"), config.fleet.reconnect_ms,
-                self._state_file("fleet", "json"), self.core.fleet_news, self.log,
-                config.upstream.source_address)
+                split_address(config.fleet.feed, "fleet.feed"),
+                config.fleet.reconnect_ms,
+                self._state_file("fleet", "json"),
+                self.core.fleet_news,
+                self.log,
+                config.upstream.source_address,
+            )
             self.feed.start()
             # Guards against sends by a saved list: what left it meanwhile was told to an earlier life.
             if self.core.fleet:
@@ -144,14 +195,18 @@
             self._restore()
         listen, served = config.listen, []
         if "proxy" in derive.fronts(config):
-            self.listener = StreamServer((listen.host, listen.port), self.front.serve, backlog=listen.backlog,
-                                         spawn=self.front.clients)
+            self.listener = StreamServer(
+                (listen.host, listen.port), self.front.serve, backlog=listen.backlog, spawn=self.front.clients
+            )
             self.listener.start()
             served.append((listen.host, self.listener.server_port))
         if self.forward is not None and (asking := config.forward) is not None:
             self.forward_listener = StreamServer(
-                (asking.host, asking.port), self.forward.serve, backlog=asking.backlog,
-                spawn=self.forward.clients)
+                (asking.host, asking.port),
+                self.forward.serve,
+                backlog=asking.backlog,
+                spawn=self.forward.clients,
+            )
             self.forward_listener.start()
             served.append((asking.host, self.forward_listener.server_port))
             self.log("forward.listening", host=asking.host, port=self.forward_listener.server_port)
@@ -173,9 +228,16 @@
             self.counter = None
         if (section := self.config.counter) is not None:
             parts = [split_address(part, "counter.parts") for part in section.parts]
-            self.counter = Counter(parts, section.timeout_ms, section.most_pending,
-                                   IncrByFloat(section.prefix),
-                                   section.reconnect_ms, self.steady.now, self.core.counted, self.log)
+            self.counter = Counter(
+                parts,
+                section.timeout_ms,
+                section.most_pending,
+                IncrByFloat(section.prefix),
+                section.reconnect_ms,
+                self.steady.now,
+                self.core.counted,
+                self.log,
+            )
             self.core.count = self.counter.call
 
     def settle(self, config: GatewayConfig, led: bool, newcomer: bool = False) -> None:
@@ -187,8 +249,11 @@
         held = self.core.gateway.settings
         made = derive.settings(config)
         # plans that are as they were stay the same objects: the module knows by that
-        plans = held.plans if self.identity is not None else tuple(
-            next((old for old in held.plans if old == plan), plan) for plan in made.plans)
+        plans = (
+            held.plans
+            if self.identity is not None
+            else tuple(next((old for old in held.plans if old == plan), plan) for plan in made.plans)
+        )
         if (settings := replace(made, plans=plans)) != held or newcomer:
             self.core.settle(settings, newcomer)
         self.door.settle(config, led)
@@ -274,16 +339,39 @@
 
     def counts(self) -> dict[str, Any]:
         """All counters, by part."""
-        counter = {"turned_away": sum(p.pipeline.turned_away for p in self.counter.parts),
-                   "dropped": sum(p.pipeline.dropped for p in self.counter.parts)} if self.counter else {}
-        identity = self.identity.counts | {"version": self.identity.version, "stale_ms": round(
-            self.identity.follower.stale_ms(self.steady.now()))} if self.identity else {}
-        forward = (self.forward.permits.counts | self.forward.counts | {
-            "held": self.forward.permits.active}) if self.forward else {}
-        return {"agreement": self.agreement(), "identity": identity, "forward": forward, "held": self.held,
-                "requests": self.core.requests(),
-                "front": self.front.counts, "tokens": self.introspector.checker.counts,
-                "connections": self.pool.counts, "counter": counter,
-                "recovery": self.recorder.counts if self.recorder is not None else {},
-                "background": self.background.counts(),
-                "open_limits": {"refused": self.core.limits.refused, "expired": self.core.limits.expired}}
+        counter = (
+            {
+                "turned_away": sum(p.pipeline.turned_away for p in self.counter.parts),
+                "dropped": sum(p.pipeline.dropped for p in self.counter.parts),
+            }
+            if self.counter
+            else {}
+        )
+        identity = (
+            self.identity.counts
+            | {
+                "version": self.identity.version,
+                "stale_ms": round(self.identity.follower.stale_ms(self.steady.now())),
+            }
+            if self.identity
+            else {}
+        )
+        forward = (
+            (self.forward.permits.counts | self.forward.counts | {"held": self.forward.permits.active})
+            if self.forward
+            else {}
+        )
+        return {
+            "agreement": self.agreement(),
+            "identity": identity,
+            "forward": forward,
+            "held": self.held,
+            "requests": self.core.requests(),
+            "front": self.front.counts,
+            "tokens": self.introspector.checker.counts,
+            "connections": self.pool.counts,
+            "counter": counter,
+            "recovery": self.recorder.counts if self.recorder is not None else {},
+            "background": self.background.counts(),
+            "open_limits": {"refused": self.core.limits.refused, "expired": self.core.limits.expired},
+        }
--- a/tamarindfold/ingress/servers.py
+++ b/tamarindfold/ingress/servers.py
@@ -38,13 +38,18 @@
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
         cls = self.settings().classes[exchange.cls].name.encode()
-        own = [(names.REQUEST, exchange.name), (names.ATTEMPT, b"%d" % attempt),
-               (names.CUSTOMER, b"%d" % exchange.customer),
-               (names.PLAN, self.plan(exchange.plan)),
-               (names.CLASS, cls), (names.UNITS, b"%g" % exchange.units),
-               (names.TIME_LEFT, b"%d" % left_ms)]
-        return write.request(exchange.method, exchange.target, _server(backend)[1], exchange.headers + own,
-                             exchange.body)
+        own = [
+            (names.REQUEST, exchange.name),
+            (names.ATTEMPT, b"%d" % attempt),
+            (names.CUSTOMER, b"%d" % exchange.customer),
+            (names.PLAN, self.plan(exchange.plan)),
+            (names.CLASS, cls),
+            (names.UNITS, b"%g" % exchange.units),
+            (names.TIME_LEFT, b"%d" % left_ms),
+        ]
+        return write.request(
+            exchange.method, exchange.target, _server(backend)[1], exchange.headers + own, exchange.body
+        )
 
     def plan(self, number: int) -> bytes:
         """A plan's name: plans may change while requests are open."""
--- a/tamarindfold/ingress/upstream.py
+++ b/tamarindfold/ingress/upstream.py
@@ -49,11 +49,22 @@
 class Attempt:
     """One Send of the module."""
 
-    __slots__ = ("backend", "came_ms", "connection", "cut", "entry", "exchange", "held", "number", "until",
-                 "wrote")
-
-    def __init__(self, exchange: Exchange, number: int, entry: BackendEntry | None, backend: int,
-                 until: float) -> None:
+    __slots__ = (
+        "backend",
+        "came_ms",
+        "connection",
+        "cut",
+        "entry",
+        "exchange",
+        "held",
+        "number",
+        "until",
+        "wrote",
+    )
+
+    def __init__(
+        self, exchange: Exchange, number: int, entry: BackendEntry | None, backend: int, until: float
+    ) -> None:
         self.exchange, self.number, self.entry, self.backend = exchange, number, entry, backend
         self.until = until
         self.connection: Connection | None = None
@@ -77,8 +88,16 @@
 class Upstream:
     """Carries out Send and Cancel."""
 
-    def __init__(self, core: Core, pool: Pool, timers: Timers, peers: Peers, clock: Callable[[], float],
-                 trust_ms: float = math.inf, most_held: float = math.inf) -> None:
+    def __init__(
+        self,
+        core: Core,
+        pool: Pool,
+        timers: Timers,
+        peers: Peers,
+        clock: Callable[[], float],
+        trust_ms: float = math.inf,
+        most_held: float = math.inf,
+    ) -> None:
         """trust_ms: what must not run twice goes on a kept connection if none broke for so long; most_held:
         bytes of all answers that are being read."""
         self.trust_ms, self.most_held = trust_ms, most_held
@@ -87,8 +106,9 @@
         self.running: dict[tuple[int, int], Attempt] = {}
         self.counts = {how.name.lower(): 0 for how in Outcome} | {"no_room": 0}
 
-    def start(self, exchange: Exchange, number: int, entry: BackendEntry | None, backend: int,
-              timeout_ms: float) -> None:
+    def start(
+        self, exchange: Exchange, number: int, entry: BackendEntry | None, backend: int, timeout_ms: float
+    ) -> None:
         """Hand an attempt to its request's greenlet; its outcome comes by Core.attempt_ended."""
         until = min(exchange.give_up_ms, self.clock() + timeout_ms if timeout_ms > 0 else math.inf)
         attempt = Attempt(exchange, number, entry, backend, until)
@@ -142,8 +162,9 @@
         ended = self.clock()
         if attempt.cut is None and attempt.came_ms:  # this process may have read it late
             ended = max(started, min(ended, attempt.came_ms))
-        self.core.attempt_ended(exchange, attempt.number, attempt.backend, outcome, ended - started, served,
-                                units, report)
+        self.core.attempt_ended(
+            exchange, attempt.number, attempt.backend, outcome, ended - started, served, units, report
+        )
 
     @staticmethod
     def _cut_short(attempt: Attempt, outcome: Outcome) -> Outcome:
@@ -164,7 +185,8 @@
         if attempt.cut is not None:
             return Outcome.CONNECT_FAILED
         if not connection.used and (  # connecting took its time
-                hindrance(exchange, attempt.entry) or connection.place != self.peers.place(attempt.backend)):
+            hindrance(exchange, attempt.entry) or connection.place != self.peers.place(attempt.backend)
+        ):
             connection.reader.complete = connection.reader.reusable = True  # nothing was asked on it
             return Outcome.MOOT
         if not self._write(attempt, connection):
@@ -213,8 +235,9 @@
         taken. Where the first byte counts, what the server may have answered before it closed is read."""
         exchange, whole = attempt.exchange, self.peers.whole
         connection.reader.begin(exchange.method == "HEAD")
-        data = self.peers.request(exchange, attempt.number, attempt.backend,
-                                  max(0.0, attempt.until - self.clock()))
+        data = self.peers.request(
+            exchange, attempt.number, attempt.backend, max(0.0, attempt.until - self.clock())
+        )
         sock = connection.sock
         try:
             sent = sock.send(data)
--- a/tamarindfold/interface.py
+++ b/tamarindfold/interface.py
@@ -158,10 +158,28 @@
     report_fields: tuple[str, ...] = ()
 
     def __post_init__(self) -> None:
-        _check(self, {"gateways": 1, "index": 0, "max_attempts": 1, "start_capacity": 1e-6, "cold_ms": 0,
-                      "fall_multiple": 1e-6, "overload_ms": 1e-3, "drain_grace_ms": 0, "answer_grace_ms": 0,
-                      "zone": 0, "tick_ms": 0, "most_units": 1e-6, "max_retry_after_ms": 0, "meter_ms": 0,
-                      "peer_in_per_s": 0, "counter_timeout_ms": 0, "counter_price": 0})
+        _check(
+            self,
+            {
+                "gateways": 1,
+                "index": 0,
+                "max_attempts": 1,
+                "start_capacity": 1e-6,
+                "cold_ms": 0,
+                "fall_multiple": 1e-6,
+                "overload_ms": 1e-3,
+                "drain_grace_ms": 0,
+                "answer_grace_ms": 0,
+                "zone": 0,
+                "tick_ms": 0,
+                "most_units": 1e-6,
+                "max_retry_after_ms": 0,
+                "meter_ms": 0,
+                "peer_in_per_s": 0,
+                "counter_timeout_ms": 0,
+                "counter_price": 0,
+            },
+        )
         if self.index >= self.gateways:
             raise ValueError(f"Settings.index: {self.index} is not below gateways ({self.gateways})")
         for name in ("classes", "plans"):
@@ -335,9 +353,22 @@
     unit_ms: list[float]  # by class; empty: not known
 
 
-Event = (FleetUpdate | RequestArrived | AnswerBegan | AttemptEnded | RequestWithdrawn | TimerFired
-         | ProbeEnded | PeerMessage | CountAnswered | PlansChanged | SettingsChanged | UsePassed
-         | StoodStill | Restored)
+Event = (
+    FleetUpdate
+    | RequestArrived
+    | AnswerBegan
+    | AttemptEnded
+    | RequestWithdrawn
+    | TimerFired
+    | ProbeEnded
+    | PeerMessage
+    | CountAnswered
+    | PlansChanged
+    | SettingsChanged
+    | UsePassed
+    | StoodStill
+    | Restored
+)
 
 
 # ---- actions
--- a/tamarindfold/introspection/checker.py
+++ b/tamarindfold/introspection/checker.py
@@ -152,7 +152,8 @@
         self.in_flight = self.waiting = self.failures = 0
         self.held_until, self.hold_ms = 0.0, 0.0
         self.counts = dict.fromkeys(
-            ("hits", "misses", "joined", "refreshed", "stale", "failed", "turned_away"), 0)
+            ("hits", "misses", "joined", "refreshed", "stale", "failed", "turned_away"), 0
+        )
         self.actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
--- a/tamarindfold/introspection/claims.py
+++ b/tamarindfold/introspection/claims.py
@@ -72,11 +72,21 @@
         audiences = [audiences]
     if not isinstance(audiences, list) or not all(isinstance(a, str) for a in audiences):
         raise BadAnswer("aud is neither a text nor a list of texts")
-    extra = tuple((name, str(value)) for name, value in answer.items()
-                  if isinstance(value, str | int) and not isinstance(value, bool))
-    return Claims(_time_ms(answer, "exp", math.inf), _time_ms(answer, "nbf", 0.0),
-                  frozenset(_text(answer, "scope").split()), _text(answer, "client_id"), _text(answer, "sub"),
-                  tuple(audiences), _text(answer, "iss"), extra)
+    extra = tuple(
+        (name, str(value))
+        for name, value in answer.items()
+        if isinstance(value, str | int) and not isinstance(value, bool)
+    )
+    return Claims(
+        _time_ms(answer, "exp", math.inf),
+        _time_ms(answer, "nbf", 0.0),
+        frozenset(_text(answer, "scope").split()),
+        _text(answer, "client_id"),
+        _text(answer, "sub"),
+        tuple(audiences),
+        _text(answer, "iss"),
+        extra,
+    )
 
 
 def fault(claims: Claims, now_ms: float, audience: str, issuer: str, leeway_ms: float) -> str:
--- a/tamarindfold/introspection/driver.py
+++ b/tamarindfold/introspection/driver.py
@@ -15,8 +15,20 @@
 from tamarindfold.http1.responses import BadResponse, ResponseReader
 from tamarindfold.introspection import bearer, claims
 from tamarindfold.introspection.checker import (
-    Action, Active, Asked, Event, GaveUp, Inactive, LookedUp, LookUp, LookUpFailed, Rules, Tell,
-    TokenChecker, Unknown, Word,
+    Action,
+    Active,
+    Asked,
+    Event,
+    GaveUp,
+    Inactive,
+    LookedUp,
+    LookUp,
+    LookUpFailed,
+    Rules,
+    Tell,
+    TokenChecker,
+    Unknown,
+    Word,
 )
 
 __all__ = ["Active", "Inactive", "Introspector", "Unknown"]
@@ -25,17 +37,29 @@
 class Introspector:
     """The token check of one gateway."""
 
-    def __init__(self, url: str, client_id: str, secret: str, rules: Rules, connections: int,
-                 answer_bytes: int, seed: int, clock: Callable[[], float], log: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        url: str,
+        client_id: str,
+        secret: str,
+        rules: Rules,
+        connections: int,
+        answer_bytes: int,
+        seed: int,
+        clock: Callable[[], float],
+        log: Callable[..., None],
+    ) -> None:
         parts = urlsplit(url)
         self.address = (parts.hostname or "", parts.port or 80)
         self.host = parts.netloc.encode()
         self.target = (parts.path or "/").encode() + (b"?" + parts.query.encode() if parts.query else b"")
         # RFC 6749 section 2.3.1: both are form-encoded before they are joined
         pair = f"{quote_plus(client_id)}:{quote_plus(secret)}".encode()
-        self.headers = [(b"authorization", b"Basic " + base64.b64encode(pair)),
-                        (b"content-type", b"application/x-www-form-urlencoded"),
-                        (b"accept", b"application/json")]
+        self.headers = [
+            (b"authorization", b"Basic " + base64.b64encode(pair)),
+            (b"content-type", b"application/x-www-form-urlencoded"),
+            (b"accept", b"application/json"),
+        ]
         self.checker = TokenChecker(rules, seed)
         self.clock, self.log = clock, log
         self.key = os.urandom(32)  # digests mean nothing outside this process
--- a/tamarindfold/keeper/disk.py
+++ b/tamarindfold/keeper/disk.py
@@ -65,7 +65,7 @@
                 data = frame(_encoder.encode(save))
                 view = memoryview(data)
                 while view:
-                    view = view[os.write(self.descriptor, view):]
+                    view = view[os.write(self.descriptor, view) :]
                 os.fdatasync(self.descriptor)
                 self.size += len(data)
         except OSError as error:
--- a/tamarindfold/keeper/server.py
+++ b/tamarindfold/keeper/server.py
@@ -17,7 +17,16 @@
 
 from tamarindfold.agreement import wire
 from tamarindfold.agreement.consensus import (
-    Action, Beat, Chose, Fill, Here, Keeper, Outcome, Said, Save, Send,
+    Action,
+    Beat,
+    Chose,
+    Fill,
+    Here,
+    Keeper,
+    Outcome,
+    Said,
+    Save,
+    Send,
 )
 from tamarindfold.agreement.document import Document, check
 from tamarindfold.agreement.lease import Renew, Renewed
@@ -59,8 +68,12 @@
         self.keeper, self.number = keeper, number
         self.queue: deque[Said] = deque(maxlen=keeper.config.most_queued)
         self.more = Event()
-        self.link = Link(split_address(address, f"keepers[{number}]"), CONNECT_S,
-                         Backoff(LEAST_PAUSE_S, MOST_PAUSE_S), keeper.config.source_address)
+        self.link = Link(
+            split_address(address, f"keepers[{number}]"),
+            CONNECT_S,
+            Backoff(LEAST_PAUSE_S, MOST_PAUSE_S),
+            keeper.config.source_address,
+        )
         self.dropped = self.lost = 0
 
     def say(self, what: Said) -> None:
@@ -126,24 +139,32 @@
         self.led = False
         self.stewards_ticket = 0
         port = split_address(config.keepers[config.me], "keepers")[1]
-        self.server = StreamServer((config.host, config.port or port), self._serve, backlog=1024,
-                                   spawn=Pool(config.connections))
-        self.links = {k: PeerLink(self, k, address) for k, address in enumerate(config.keepers)
-                      if k != config.me}
+        self.server = StreamServer(
+            (config.host, config.port or port), self._serve, backlog=1024, spawn=Pool(config.connections)
+        )
+        self.links = {
+            k: PeerLink(self, k, address) for k, address in enumerate(config.keepers) if k != config.me
+        }
         self.greenlets: list[gevent.Greenlet] = []
         self.handlers: dict[bytes, Callable[[bytes], tuple[int, bytes]]] = {
-            b"/v1/keeper": self._heard, b"/v1/renew": self._renew, b"/v1/propose": self._propose,
-            b"/v1/command": self._command, b"/v1/look": self._look}
-        self.counts = dict.fromkeys(("renewals", "proposals", "refused", "bad", "disk_failed", "stalls",
-                                     "elected"), 0)
+            b"/v1/keeper": self._heard,
+            b"/v1/renew": self._renew,
+            b"/v1/propose": self._propose,
+            b"/v1/command": self._command,
+            b"/v1/look": self._look,
+        }
+        self.counts = dict.fromkeys(
+            ("renewals", "proposals", "refused", "bad", "disk_failed", "stalls", "elected"), 0
+        )
 
     def _begin(self, trusted: bool) -> Keeper:
         found, torn = self.disk.load()
         if torn:
             self.log("keeper.log_cut", bytes=torn)
         # another nonce in each life: answers to an earlier one prove nothing
-        return Keeper(self.config.me, len(self.config.keepers), found, secrets.randbits(60), now_ms(),
-                      trusted)
+        return Keeper(
+            self.config.me, len(self.config.keepers), found, secrets.randbits(60), now_ms(), trusted
+        )
 
     def start(self) -> str:
         """Open the port; where it is. OSError where it can't be had."""
@@ -151,8 +172,12 @@
         self._do(self.core.begin(now_ms()))
         self.greenlets = [gevent.spawn(link.run) for link in self.links.values()]
         self.greenlets += [gevent.spawn(self._tick), gevent.spawn(self._tell)]
-        self.log("keeper.listening", port=self.server.server_port, number=self.core.number,
-                 version=self.core.state.version)
+        self.log(
+            "keeper.listening",
+            port=self.server.server_port,
+            number=self.core.number,
+            version=self.core.state.version,
+        )
         return f"{self.server.server_host}:{self.server.server_port}"
 
     def stop(self) -> None:
@@ -247,8 +272,14 @@
         """The first settings of all, where the file names some and no version was ever proposed."""
         if self.first is None or self.core.state.notes:
             return None
-        return Proposed(self.first, 0, "keeper", f"first settings, {self.config.first_settings}", "first",
-                        time.time() * 1000)
+        return Proposed(
+            self.first,
+            0,
+            "keeper",
+            f"first settings, {self.config.first_settings}",
+            "first",
+            time.time() * 1000,
+        )
 
     def _offer(self, body: Body) -> Outcome:
         self.ticket += 1
@@ -264,10 +295,18 @@
             gevent.sleep(TELL_EVERY_S)
             state = self.core.state
             self.reports.forget(now_ms(), state.members.keys() | state.held.keys())
-            self.log("keeper.counts", **self.counts, **summary(self.core.state), leads=self.core.leads,
-                     proven=self.core.proven, log_bytes=self.disk.size, saves=self.disk.saves,
-                     reports=len(self.reports.known), reports_dropped=self.reports.dropped,
-                     dropped=sum(link.dropped for link in self.links.values()))
+            self.log(
+                "keeper.counts",
+                **self.counts,
+                **summary(self.core.state),
+                leads=self.core.leads,
+                proven=self.core.proven,
+                log_bytes=self.disk.size,
+                saves=self.disk.saves,
+                reports=len(self.reports.known),
+                reports_dropped=self.reports.dropped,
+                dropped=sum(link.dropped for link in self.links.values()),
+            )
 
     # ---- requests
 
@@ -313,8 +352,12 @@
         self.counts["renewals"] += 1
         self._take_report(asked)
         # a question may only wait while nothing that it would want to know is there
-        if (asked.number == self.core.number and asked.wait_ms > 0 and self.core.certain
-                and asked.wants == "stay"):
+        if (
+            asked.number == self.core.number
+            and asked.wait_ms > 0
+            and self.core.certain
+            and asked.wants == "stay"
+        ):
             self.changed.wait(min(asked.wait_ms, self.config.most_wait_ms) / 1000)
         if self.broken or not self.core.proven:
             return 503, b"this keeper has just started"
@@ -322,16 +365,30 @@
 
     def _take_report(self, asked: Renew) -> None:
         if asked.life:
-            self.reports.take(now_ms(), Report(
-                asked.life, asked.name, asked.number, asked.ready, asked.cannot, asked.wants, asked.replaces,
-                asked.zone, asked.led_ms))
+            self.reports.take(
+                now_ms(),
+                Report(
+                    asked.life,
+                    asked.name,
+                    asked.number,
+                    asked.ready,
+                    asked.cannot,
+                    asked.wants,
+                    asked.replaces,
+                    asked.zone,
+                    asked.led_ms,
+                ),
+            )
 
     def _renewed(self, asked: Renew) -> Renewed:
         core, state = self.core, self.core.state
         other = self._other_past(asked)
         member = asked.life in state.members
-        hindrance = "" if member or not asked.life else state.hindrance(
-            Newcomer(asked.name, asked.life, asked.replaces, asked.zone))
+        hindrance = (
+            ""
+            if member or not asked.life
+            else state.hindrance(Newcomer(asked.name, asked.life, asked.replaces, asked.zone))
+        )
         news = Fill(()) if other or asked.number >= core.number else core.since(asked.number)
         return Renewed(asked.sent, core.number, core.certain and not other, member, other, hindrance, news)
 
@@ -350,12 +407,21 @@
     def _propose(self, body: bytes) -> tuple[int, bytes]:
         asked = wire.unpack(body, wire.Propose, self.public, "propose")
         self.counts["proposals"] += 1
-        if (version := self._version_of(asked.token)):
+        if version := self._version_of(asked.token):
             return self._told(version)
-        outcome = self._offer(Proposed(asked.document, asked.base, asked.author, asked.reason, asked.token,
-                                       time.time() * 1000, asked.first))
+        outcome = self._offer(
+            Proposed(
+                asked.document,
+                asked.base,
+                asked.author,
+                asked.reason,
+                asked.token,
+                time.time() * 1000,
+                asked.first,
+            )
+        )
         # its first sending may have come through meanwhile, and then refused this one
-        if (version := self._version_of(asked.token)):
+        if version := self._version_of(asked.token):
             return self._told(version)
         self.counts["refused"] += 1
         return self._told(0, outcome.reason, outcome.lost)
@@ -377,8 +443,9 @@
             if asked.what == "drop":
                 if state.phase:
                     return self._told(0, "some act on it already: propose the old settings anew")
-                return self._wrote(self._offer(Dropped(asked.version, (f"taken back by {asked.author}",))),
-                                   asked.version)
+                return self._wrote(
+                    self._offer(Dropped(asked.version, (f"taken back by {asked.author}",))), asked.version
+                )
             (self.steward.forced if asked.what == "force" else self.steward.widened).add(asked.version)
             return self._told(asked.version)
         if asked.what == "retire":
@@ -395,9 +462,17 @@
         """What instances refused is put in force as a version of its own, once."""
         token = f"force {asked.version}"
         if not self._version_of(token):
-            outcome = self._offer(Proposed(dropped.document, self.core.state.newest, asked.author,
-                                           f"version {asked.version} forced", token, time.time() * 1000,
-                                           forced=True))
+            outcome = self._offer(
+                Proposed(
+                    dropped.document,
+                    self.core.state.newest,
+                    asked.author,
+                    f"version {asked.version} forced",
+                    token,
+                    time.time() * 1000,
+                    forced=True,
+                )
+            )
             if not outcome.number:
                 return self._wrote(outcome, 0)
         return self._told(self._version_of(token))
@@ -405,6 +480,13 @@
     def _look(self, body: bytes) -> tuple[int, bytes]:
         now, core = now_ms(), self.core
         reports = self.reports.aged(now, self.reports.known)
-        look = wire.Look(core.me, core.leader, core.proven, core.certain, encode(core.state), tuple(reports),
-                         self.steward.waits_for(now, core.state) if core.leads else "")
+        look = wire.Look(
+            core.me,
+            core.leader,
+            core.proven,
+            core.certain,
+            encode(core.state),
+            tuple(reports),
+            self.steward.waits_for(now, core.state) if core.leads else "",
+        )
         return 200, wire.pack(look, self.key, "look")
--- a/tamarindfold/limits/open.py
+++ b/tamarindfold/limits/open.py
@@ -47,8 +47,9 @@
         place = (self.index - customer % self.gateways) % self.gateways
         return max(1, limit // width + (place < limit % width))
 
-    def take(self, request: int, customer: int, limit: int, width: int, now: float,
-             until_ms: float) -> float | None:
+    def take(
+        self, request: int, customer: int, limit: int, width: int, now: float, until_ms: float
+    ) -> float | None:
         """Hold a lease until it is ended or its time is up. None: held; else milliseconds to stay away."""
         holder = self.holders.get(customer)
         if holder is None:
--- a/tamarindfold/links/follower.py
+++ b/tamarindfold/links/follower.py
@@ -18,8 +18,9 @@
 class Follower:
     """One greenlet over one link. read: goes through a connection's news until it ends; lost: told why."""
 
-    def __init__(self, link: Link, read: Callable[[socket.socket], None],
-                 lost: Callable[[Exception | None], None]) -> None:
+    def __init__(
+        self, link: Link, read: Callable[[socket.socket], None], lost: Callable[[Exception | None], None]
+    ) -> None:
         self.link, self._read, self._lost = link, read, lost
         self.heard = Event()  # set from the first word on: what was known before it may be out of date
         self.counts = {"lost": 0}
@@ -39,8 +40,9 @@
         self.heard.set()
         self.link.backoff.well()
 
-    def first(self, most_ms: float, log: Callable[..., None], stop: Event | None = None,
-              **held: object) -> None:
+    def first(
+        self, most_ms: float, log: Callable[..., None], stop: Event | None = None, **held: object
+    ) -> None:
         """Wait for the first word, or for the end. Guards against acting on what an earlier life knew while
         news come."""
         if not gevent.wait((self.heard, *([] if stop is None else [stop])), most_ms / 1000, 1):
--- a/tamarindfold/links/link.py
+++ b/tamarindfold/links/link.py
@@ -14,8 +14,9 @@
 class Link:
     """What is read, and what its end means, is the user's. `sock`: the connection, while there is one."""
 
-    def __init__(self, address: tuple[str, int], connect_s: float, backoff: Backoff,
-                 source_address: str = "") -> None:
+    def __init__(
+        self, address: tuple[str, int], connect_s: float, backoff: Backoff, source_address: str = ""
+    ) -> None:
         self.address, self.connect_s, self.backoff = address, connect_s, backoff
         self.source = (source_address, 0) if source_address else None
         self.sock: socket.socket | None = None
--- a/tamarindfold/membership/driver.py
+++ b/tamarindfold/membership/driver.py
@@ -21,14 +21,21 @@
 class FeedFollower:
     """Reads lines, tells each update, and begins anew after any fault."""
 
-    def __init__(self, address: tuple[str, int], reconnect_ms: float, saved_at: Path | None,
-                 tell: Callable[[FleetUpdate], None], log: Callable[..., None],
-                 source_address: str = "") -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        reconnect_ms: float,
+        saved_at: Path | None,
+        tell: Callable[[FleetUpdate], None],
+        log: Callable[..., None],
+        source_address: str = "",
+    ) -> None:
         self.saved_at, self.tell, self.log = saved_at, tell, log
         self.fleet = FleetList()
         pause_s = reconnect_ms / 1000
-        self.follower = Follower(Link(address, CONNECT_S, Backoff(pause_s, pause_s), source_address),
-                                 self._read, self._lost)
+        self.follower = Follower(
+            Link(address, CONNECT_S, Backoff(pause_s, pause_s), source_address), self._read, self._lost
+        )
 
     def start(self) -> None:
         """Tell the saved list, if there is one, then follow the feed."""
--- a/tamarindfold/membership/feed.py
+++ b/tamarindfold/membership/feed.py
@@ -79,11 +79,19 @@
         """What was saved, as a cached list; the feed must still send a full one first."""
         update = self.take(line)
         self.version = -1
-        return FleetUpdate(ListKind.CACHED, [e for e in update.entries if e.state is not BackendState.GONE],
-                           update.version)
+        return FleetUpdate(
+            ListKind.CACHED, [e for e in update.entries if e.state is not BackendState.GONE], update.version
+        )
 
     @staticmethod
     def _entry(server: ServerLine) -> BackendEntry:
         backend = backend_id(*split_address(server.address, "feed: address"))
-        return BackendEntry(backend, _STATES[server.state], server.zone, server.kind, server.cell,
-                            server.size, server.up_since_ms)
+        return BackendEntry(
+            backend,
+            _STATES[server.state],
+            server.zone,
+            server.kind,
+            server.cell,
+            server.size,
+            server.up_since_ms,
+        )
--- a/tamarindfold/modelcheck/explorer.py
+++ b/tamarindfold/modelcheck/explorer.py
@@ -130,7 +130,7 @@
     while size:
         at = 0
         while at < len(trace):
-            less = trace[:at] + trace[at + size:]
+            less = trace[:at] + trace[at + size :]
             if replay(begin(), less):
                 trace = less
             else:
--- a/tamarindfold/node/discovery.py
+++ b/tamarindfold/node/discovery.py
@@ -29,8 +29,14 @@
     be heeded; the rest is for the connection and the line.
     """
 
-    def __init__(self, address: tuple[str, int], generation: Callable[[], int], take: Callable[[bytes], None],
-                 log: Callable[..., None], drain_grace_ms: float) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        generation: Callable[[], int],
+        take: Callable[[bytes], None],
+        log: Callable[..., None],
+        drain_grace_ms: float,
+    ) -> None:
         self.generation, self.take, self.log = generation, take, log
         pauses = Backoff(LEAST_PAUSE_S, min(MOST_PAUSE_S, drain_grace_ms * GRACE_PART / 1000))
         self.follower = Follower(Link(address, CONNECT_S, pauses), self._read, self._lost)
--- a/tamarindfold/node/front.py
+++ b/tamarindfold/node/front.py
@@ -26,11 +26,25 @@
 
     limits: Limits
 
-    def __init__(self, limits: Limits, core: Core, timers: Timers, clock: Callable[[], float],
-                 log: Callable[..., None], why_not_ready: Callable[[], str]) -> None:
+    def __init__(
+        self,
+        limits: Limits,
+        core: Core,
+        timers: Timers,
+        clock: Callable[[], float],
+        log: Callable[..., None],
+        why_not_ready: Callable[[], str],
+    ) -> None:
         settings = core.gateway.settings
-        super().__init__(limits, core, PlatformWords(settings.retry_after), timers, clock, log,
-                         limits.connections + limits.ending)
+        super().__init__(
+            limits,
+            core,
+            PlatformWords(settings.retry_after),
+            timers,
+            clock,
+            log,
+            limits.connections + limits.ending,
+        )
         self.why_not_ready = why_not_ready
         self.admission = Admission(settings)
         self.connection = PlatformConnection
@@ -58,8 +72,11 @@
         the loop; meanwhile it is beyond the bound (`ending`).
         """
         now = self.clock()
-        known = (c for c, since in self.idle.items()
-                 if c not in self.silent and now - since >= self.limits.idle_least_ms)
+        known = (
+            c
+            for c, since in self.idle.items()
+            if c not in self.silent and now - since >= self.limits.idle_least_ms
+        )
         for victim in chain((c for c in self.silent if c in self.reading), known):
             if not victim.late and not victim.unread():
                 self.counts["evicted"] += 1
@@ -114,9 +131,22 @@
         front.core.numbers = number = front.core.numbers + 1
         deadline = self.came_ms + asked.time_left_ms
         return Exchange(
-            number, asked.name, asked.cls, asked.customer, asked.plan, asked.units, asked.width, asked.retry,
-            deadline, deadline - limits.answer_margin_ms, request.method, request.target, [], request.body,
-            first=asked.first)
+            number,
+            asked.name,
+            asked.cls,
+            asked.customer,
+            asked.plan,
+            asked.units,
+            asked.width,
+            asked.retry,
+            deadline,
+            deadline - limits.answer_margin_ms,
+            request.method,
+            request.target,
+            [],
+            request.body,
+            first=asked.first,
+        )
 
     def _decided(self, exchange: Exchange) -> bytes:
         open_names = self.front.open_names
--- a/tamarindfold/node/ingress.py
+++ b/tamarindfold/node/ingress.py
@@ -42,16 +42,30 @@
         self.limits = limits = budget(config.sockets, config.memory_mb, config.open_cap)
         self.core = Core(Gateway(settings, config.seed), clock, log, limits.stall_ms)
         self.book = AddressBook(config.zones, config.kinds)
-        self.pool = Pool(config.conn_idle_ms / 2, limits.backend_connections, limits.backend_connections,
-                         config.dial_timeout_ms, "", limits.answer_bytes, clock, limits.backend_connections)
+        self.pool = Pool(
+            config.conn_idle_ms / 2,
+            limits.backend_connections,
+            limits.backend_connections,
+            config.dial_timeout_ms,
+            "",
+            limits.answer_bytes,
+            clock,
+            limits.backend_connections,
+        )
         self.timers = Timers(clock, limits.timer_slot_ms)
         self.upstream = self.core.sender = Upstream(
-            self.core, self.pool, self.timers,
-            Backends(self.book.address, self.book.entries.get, settings.report_fields), clock,
-            limits.kept_trust_ms, limits.answers_bytes)
+            self.core,
+            self.pool,
+            self.timers,
+            Backends(self.book.address, self.book.entries.get, settings.report_fields),
+            clock,
+            limits.kept_trust_ms,
+            limits.answers_bytes,
+        )
         self.front = PlatformFront(limits, self.core, self.timers, clock, log, self.why_not_ready)
-        self.watch = Watch(config.discovery, lambda: self.book.generation, self._told, log,
-                           settings.drain_grace_ms)
+        self.watch = Watch(
+            config.discovery, lambda: self.book.generation, self._told, log, settings.drain_grace_ms
+        )
         self.counter_at = config.counter
         self.counter: Counter | None = None
         self.listener: StreamServer | None = None
@@ -71,16 +85,25 @@
             self._told(config.known, ListKind.CACHED)
         self.watch.start()
         if self.counter_at is not None and config.settings.counter:
-            self.counter = Counter([self.counter_at], config.settings.counter_timeout_ms,
-                                   limits.pending_counts, AddGet(), limits.counter_reconnect_ms,
-                                   self.steady.now, self.core.counted, self.log, limits.counter_keep_ms)
+            self.counter = Counter(
+                [self.counter_at],
+                config.settings.counter_timeout_ms,
+                limits.pending_counts,
+                AddGet(),
+                limits.counter_reconnect_ms,
+                self.steady.now,
+                self.core.counted,
+                self.log,
+                limits.counter_keep_ms,
+            )
             self.core.count = self.counter.call
         # Guards against sends by a list from before a restart: clients come as soon as this listens.
         self.watch.follower.first(limits.first_list_ms, self.log, stop, generation=self.book.generation)
         if stop is not None and stop.is_set():
             return
-        self.listener = StreamServer(config.listen, self.front.serve, backlog=BACKLOG,
-                                     spawn=self.front.clients)
+        self.listener = StreamServer(
+            config.listen, self.front.serve, backlog=BACKLOG, spawn=self.front.clients
+        )
         self.listener.max_accept = limits.ending  # few: room is made before more descriptors are taken
         self.listener.init_socket()
         stamp(self.listener.socket)
@@ -146,14 +169,32 @@
         gateway, front = self.core.gateway, self.front
         pipeline = self.counter.parts[0].pipeline if self.counter is not None else None
         return {
-            "requests": self.core.requests(), "attempts": self.upstream.counts, "front": front.counts,
-            "connections": self.pool.counts, "watch": self.watch.counts,
-            "counter": {"turned_away": pipeline.turned_away, "dropped": pipeline.dropped,
-                        "out": len(pipeline.calls)} if pipeline is not None else {},
-            "sizes": {"clients": len(front.clients), "idle": len(front.idle), "silent": len(front.silent),
-                      "held": front.held, "open": len(self.core.open), "withdrawn": len(self.core.withdrawn),
-                      "backends": len(self.core.fleet),
-                      "to_backends": self.pool.held, "answers_peak": self.upstream.peak,
-                      "book": len(self.book.entries), "customers": len(gateway.customers),
-                      "calls": len(gateway.calls), "counts": len(gateway.counts),
-                      "timers": self.timers.wheel.count}}
+            "requests": self.core.requests(),
+            "attempts": self.upstream.counts,
+            "front": front.counts,
+            "connections": self.pool.counts,
+            "watch": self.watch.counts,
+            "counter": {
+                "turned_away": pipeline.turned_away,
+                "dropped": pipeline.dropped,
+                "out": len(pipeline.calls),
+            }
+            if pipeline is not None
+            else {},
+            "sizes": {
+                "clients": len(front.clients),
+                "idle": len(front.idle),
+                "silent": len(front.silent),
+                "held": front.held,
+                "open": len(self.core.open),
+                "withdrawn": len(self.core.withdrawn),
+                "backends": len(self.core.fleet),
+                "to_backends": self.pool.held,
+                "answers_peak": self.upstream.peak,
+                "book": len(self.book.entries),
+                "customers": len(gateway.customers),
+                "calls": len(gateway.calls),
+                "counts": len(gateway.counts),
+                "timers": self.timers.wheel.count,
+            },
+        }
--- a/tamarindfold/node/limits.py
+++ b/tamarindfold/node/limits.py
@@ -46,5 +46,10 @@
     """One budget of descriptors, shared between clients and backends; a part of the memory for answers."""
     free = sockets - RESERVE
     clients = int(free * CLIENT_PART)
-    return Limits(clients, free - clients, min(clients, open_cap), int(memory_mb * 1e6 * ANSWERS_PART),
-                  kept_idle=int(sockets * KEPT_PART))
+    return Limits(
+        clients,
+        free - clients,
+        min(clients, open_cap),
+        int(memory_mb * 1e6 * ANSWERS_PART),
+        kept_idle=int(sockets * KEPT_PART),
+    )
--- a/tamarindfold/node/wording.py
+++ b/tamarindfold/node/wording.py
@@ -38,8 +38,12 @@
 
     whole = True
 
-    def __init__(self, address: Callable[[int], tuple[str, int] | None], place: Callable[[int], object],
-                 fields: tuple[str, ...]) -> None:
+    def __init__(
+        self,
+        address: Callable[[int], tuple[str, int] | None],
+        place: Callable[[int], object],
+        fields: tuple[str, ...],
+    ) -> None:
         self.address, self.place, self.fields = address, place, fields
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
--- a/tamarindfold/platform/configuration.py
+++ b/tamarindfold/platform/configuration.py
@@ -80,8 +80,10 @@
 
 def _addresses(data: dict[str, Any]) -> tuple[Address, Address | None]:
     counter = data.get("counter")
-    return (split_address(_member(data, "discovery", str), "discovery"),
-            split_address(counter, "counter") if counter else None)
+    return (
+        split_address(_member(data, "discovery", str), "discovery"),
+        split_address(counter, "counter") if counter else None,
+    )
 
 
 def _decode(text: bytes) -> dict[str, Any]:
@@ -113,11 +115,18 @@
     reader = Reader(flatten(settings))
     discovery, counter = _addresses(data)
     return Configuration(
-        name=str(data.get("name", "")), listen=split_address(_member(data, "listen", str), "listen"),
-        discovery=discovery, counter=counter, seed=number, sockets=sockets, memory_mb=memory_mb,
+        name=str(data.get("name", "")),
+        listen=split_address(_member(data, "listen", str), "listen"),
+        discovery=discovery,
+        counter=counter,
+        seed=number,
+        sockets=sockets,
+        memory_mb=memory_mb,
         known=msgspec.json.encode(data["known"]) if data.get("known") else b"",
-        settings=read_settings(reader), zones=_names(settings, "zones"),
+        settings=read_settings(reader),
+        zones=_names(settings, "zones"),
         kinds=_names(settings, "machine_types"),
         conn_idle_ms=reader.number("permissions.conn_idle", 30_000),
         dial_timeout_ms=reader.number("permissions.dial_timeout", 250),
-        open_cap=reader.whole("permissions.open_cap", 20_000))
+        open_cap=reader.whole("permissions.open_cap", 20_000),
+    )
--- a/tamarindfold/platform/registry.py
+++ b/tamarindfold/platform/registry.py
@@ -68,9 +68,14 @@
             told = self._decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise ValueError(f"registry: {error}") from None
-        read = [(one, _STATES.get(one.lifecycle, BackendState.DRAINING),
-                 split_address(one.hostPort, "registry: hostPort") if one.lifecycle != "left" else ("", 0))
-                for one in told.instances]
+        read = [
+            (
+                one,
+                _STATES.get(one.lifecycle, BackendState.DRAINING),
+                split_address(one.hostPort, "registry: hostPort") if one.lifecycle != "left" else ("", 0),
+            )
+            for one in told.instances
+        ]
         entries, moved = [], []
         if told.reset:
             named = {one.instanceId for one, *_ in read}
@@ -85,9 +90,17 @@
             self.entries[number] = now
             if state is BackendState.GONE:
                 moved.append(self._forget(one.instanceId))
-            entries.append(BackendEntry(
-                number, state, _place(self.zones, one.zone), _place(self.kinds, one.machineType), one.cell,
-                one.weight, one.startedAtMs))
+            entries.append(
+                BackendEntry(
+                    number,
+                    state,
+                    _place(self.zones, one.zone),
+                    _place(self.kinds, one.machineType),
+                    one.cell,
+                    one.weight,
+                    one.startedAtMs,
+                )
+            )
         self.generation = told.generation
         return FleetUpdate(kind if told.reset else ListKind.CHANGES, entries, told.generation), moved
 
--- a/tamarindfold/platform/requests.py
+++ b/tamarindfold/platform/requests.py
@@ -24,8 +24,9 @@
 
 _NAMED = names.KEY + b"="
 _FRAMING = (b"content-length", b"transfer-encoding")
-_OWN = frozenset((names.CALL_ID, names.CALL_CLASS, names.CONTRACT, names.BUDGET, names.METERING, names.AGAIN,
-                  *_FRAMING))
+_OWN = frozenset(
+    (names.CALL_ID, names.CALL_CLASS, names.CONTRACT, names.BUDGET, names.METERING, names.AGAIN, *_FRAMING)
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,8 +89,17 @@
         if again not in (b"0", b"1"):
             raise Rejected(400, "x-again: neither 0 nor 1")
         units, width, first = self.metering(found.get(names.METERING, b""))
-        return Asked(call, cls, self._customer(request.target), plan, units, width, first,
-                     min(budget, self.settings.classes[cls].deadline_ms), again == b"1")
+        return Asked(
+            call,
+            cls,
+            self._customer(request.target),
+            plan,
+            units,
+            width,
+            first,
+            min(budget, self.settings.classes[cls].deadline_ms),
+            again == b"1",
+        )
 
     def _metering(self, value: bytes) -> tuple[float, int, int]:
         """Units, width and first gateway; Rejected where one is missing, given twice or out of range."""
@@ -114,7 +124,7 @@
         """The customer's number in the query; Rejected where it is not there once, in its form."""
         asked = _TARGET.fullmatch(target)
         parts = asked[1].split(b"&") if asked else ()
-        keys = [part[len(_NAMED):] for part in parts if part.startswith(_NAMED)]
+        keys = [part[len(_NAMED) :] for part in parts if part.startswith(_NAMED)]
         if len(keys) != 1 or not _KEY.fullmatch(keys[0]):
             raise Rejected(400, "key: not once in the query with 16 hexadecimal digits")
         customer = int(keys[0], 16)
--- a/tamarindfold/recovery/driver.py
+++ b/tamarindfold/recovery/driver.py
@@ -25,8 +25,17 @@
 class Recorder:
     """One instance's memory on disk."""
 
-    def __init__(self, folder: Path, instance: int, gateway: Gateway, max_age_ms: float, ahead_ms: float,
-                 clock: Callable[[], float], log: Callable[..., None], agreed: bool = False) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        instance: int,
+        gateway: Gateway,
+        max_age_ms: float,
+        ahead_ms: float,
+        clock: Callable[[], float],
+        log: Callable[..., None],
+        agreed: bool = False,
+    ) -> None:
         """agreed: how many gateways there are is not this instance's own, and may differ after a restart."""
         self.agreed = agreed
         self.folder, self.instance, self.gateway = folder, instance, gateway
@@ -37,7 +46,8 @@
         self.batch = files.Entries()
         self.tracked: dict[int, None] = {}  # customers with something to remember
         self.counts = dict.fromkeys(
-            ("snapshots", "failed", "entries", "journal_lost", "restored", "bytes"), 0)
+            ("snapshots", "failed", "entries", "journal_lost", "restored", "bytes"), 0
+        )
 
     # ---- at the start
 
@@ -60,8 +70,9 @@
         if self.path.exists():
             try:
                 header, rows = files.read(self.path.read_bytes())
-                why = refusal(header, now, self._configuration(), self.instance,
-                              self.max_age_ms, self.ahead_ms)
+                why = refusal(
+                    header, now, self._configuration(), self.instance, self.max_age_ms, self.ahead_ms
+                )
             except (OSError, files.BadSnapshot) as error:
                 why = str(error)
             if why:
@@ -78,9 +89,14 @@
                         row.width = self.gateway.settings.gateways
                 self.tracked = dict.fromkeys(row.customer for row in restored.customers)
                 self.counts["restored"] = len(restored.customers)
-                self.log("recovery.restored", customers=len(restored.customers),
-                         promised=len(entries.promised), age_ms=round(now - header.taken_at_ms),
-                         last=header.last, journal_torn=torn)
+                self.log(
+                    "recovery.restored",
+                    customers=len(restored.customers),
+                    promised=len(entries.promised),
+                    age_ms=round(now - header.taken_at_ms),
+                    last=header.last,
+                    journal_torn=torn,
+                )
         self._new_journal()
         if restored is None and self.journal >= 0:
             try:  # a journal is worth nothing without the snapshot that it goes on from, be that empty
@@ -91,9 +107,17 @@
 
     def _header(self, last: bool) -> bytes:
         settings = self.gateway.settings
-        return files.header(files.Header(
-            self._configuration(), self.instance, self.generation, self.clock(), last,
-            tuple(plan.name for plan in settings.plans), tuple(self.gateway.unit_ms)))
+        return files.header(
+            files.Header(
+                self._configuration(),
+                self.instance,
+                self.generation,
+                self.clock(),
+                last,
+                tuple(plan.name for plan in settings.plans),
+                tuple(self.gateway.unit_ms),
+            )
+        )
 
     def _set_aside(self, journals: list[Path]) -> None:
         """What was refused once must not come back later with newer journals on top."""
@@ -112,8 +136,11 @@
             os.close(self.journal)
             self.journal = -1
         try:
-            self.journal = os.open(self.folder / f"recovery-{self.instance}.{self.generation}.journal",
-                                   os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
+            self.journal = os.open(
+                self.folder / f"recovery-{self.instance}.{self.generation}.journal",
+                os.O_WRONLY | os.O_CREAT | os.O_APPEND,
+                0o600,
+            )
         except OSError as error:
             self._journal_lost(error)
 
@@ -153,7 +180,7 @@
         self.counts["entries"] += len(batch.promised) + len(batch.spent)
         try:
             while data:
-                data = data[os.write(self.journal, data):]
+                data = data[os.write(self.journal, data) :]
         except OSError as error:
             self._journal_lost(error)
 
--- a/tamarindfold/recovery/format.py
+++ b/tamarindfold/recovery/format.py
@@ -55,20 +55,41 @@
 
 def header(made: Header) -> bytes:
     """The first frame."""
-    return frame(pb.Record(header=pb.Header(
-        version=made.version, configuration=made.configuration, instance=made.instance,
-        generation=made.generation, taken_at_ms=made.taken_at_ms, last=made.last, plans=made.plans,
-        unit_ms=made.unit_ms)).SerializeToString())
+    return frame(
+        pb.Record(
+            header=pb.Header(
+                version=made.version,
+                configuration=made.configuration,
+                instance=made.instance,
+                generation=made.generation,
+                taken_at_ms=made.taken_at_ms,
+                last=made.last,
+                plans=made.plans,
+                unit_ms=made.unit_ms,
+            )
+        ).SerializeToString()
+    )
 
 
 def customers(rows: Sequence[Remembered]) -> bytes:
     """A frame of some customers."""
-    return frame(pb.Record(customers=pb.Customers(
-        number=[r.customer for r in rows], plan=[r.plan for r in rows], width=[r.width for r in rows],
-        appointments=[len(r.appointments) for r in rows], times=[t for r in rows for t in r.appointments],
-        end_of_queue_ms=[r.end_of_queue_ms for r in rows], answers=[r.answers for r in rows],
-        unit_sum=[r.unit_sum for r in rows], unit_squares=[r.unit_squares for r in rows],
-        cap_tokens=[r.cap_tokens for r in rows], at_ms=[r.at_ms for r in rows])).SerializeToString())
+    return frame(
+        pb.Record(
+            customers=pb.Customers(
+                number=[r.customer for r in rows],
+                plan=[r.plan for r in rows],
+                width=[r.width for r in rows],
+                appointments=[len(r.appointments) for r in rows],
+                times=[t for r in rows for t in r.appointments],
+                end_of_queue_ms=[r.end_of_queue_ms for r in rows],
+                answers=[r.answers for r in rows],
+                unit_sum=[r.unit_sum for r in rows],
+                unit_squares=[r.unit_squares for r in rows],
+                cap_tokens=[r.cap_tokens for r in rows],
+                at_ms=[r.at_ms for r in rows],
+            )
+        ).SerializeToString()
+    )
 
 
 def end(count: int) -> bytes:
@@ -109,19 +130,30 @@
 def _header(h: pb.Header) -> Header:
     if h.version != VERSION:
         raise BadSnapshot(f"version {h.version} of the format, known is {VERSION}")
-    return Header(h.configuration, h.instance, h.generation, h.taken_at_ms, h.last, tuple(h.plans),
-                  tuple(h.unit_ms))
+    return Header(
+        h.configuration, h.instance, h.generation, h.taken_at_ms, h.last, tuple(h.plans), tuple(h.unit_ms)
+    )
 
 
 def _customers(c: pb.Customers, at: int) -> list[Remembered]:
     rows, first = [], 0
-    columns = (c.number, c.plan, c.width, c.appointments, c.end_of_queue_ms, c.answers, c.unit_sum,
-               c.unit_squares, c.cap_tokens, c.at_ms)
+    columns = (
+        c.number,
+        c.plan,
+        c.width,
+        c.appointments,
+        c.end_of_queue_ms,
+        c.answers,
+        c.unit_sum,
+        c.unit_squares,
+        c.cap_tokens,
+        c.at_ms,
+    )
     if len({len(column) for column in columns}) != 1 or sum(c.appointments) != len(c.times):
         raise BadSnapshot(f"byte {at}: columns of different lengths")
     times = list(c.times)
     for number, plan, width, count, queue, answers, total, squares, cap, when in zip(*columns, strict=True):
-        own = times[first:first + count]
+        own = times[first : first + count]
         rows.append(Remembered(number, plan, width, own, queue, answers, total, squares, cap, when))
         first += count
     return rows
@@ -133,10 +165,19 @@
 def journal(entries: Entries) -> bytes:
     """A frame of a journal."""
     p, s = entries.promised, entries.spent
-    return frame(pb.Journal(
-        promised=[r[0] for r in p], promised_plan=[r[1] for r in p], promised_width=[r[2] for r in p],
-        back_at_ms=[r[3] for r in p], spent=[r[0] for r in s], spent_plan=[r[1] for r in s],
-        spent_width=[r[2] for r in s], units=[r[3] for r in s], at_ms=entries.at_ms).SerializeToString())
+    return frame(
+        pb.Journal(
+            promised=[r[0] for r in p],
+            promised_plan=[r[1] for r in p],
+            promised_width=[r[2] for r in p],
+            back_at_ms=[r[3] for r in p],
+            spent=[r[0] for r in s],
+            spent_plan=[r[1] for r in s],
+            spent_width=[r[2] for r in s],
+            units=[r[3] for r in s],
+            at_ms=entries.at_ms,
+        ).SerializeToString()
+    )
 
 
 def read_journals(files: Iterable[bytes]) -> tuple[Entries, bool]:
--- a/tamarindfold/recovery/rules.py
+++ b/tamarindfold/recovery/rules.py
@@ -11,8 +11,9 @@
 SAME_MS = 0.01  # a promise that stands in the snapshot and the journal both
 
 
-def refusal(header: Header, now: float, configuration: bytes, instance: int, max_age_ms: float,
-            ahead_ms: float) -> str:
+def refusal(
+    header: Header, now: float, configuration: bytes, instance: int, max_age_ms: float, ahead_ms: float
+) -> str:
     """Why a snapshot is not taken; empty where it is."""
     if header.configuration != configuration:
         return "of another configuration"
@@ -37,8 +38,9 @@
     return refilled < cap or now - row.at_ms < IDLE_MS
 
 
-def restore(header: Header, rows: Sequence[Remembered], entries: Entries, plans: Sequence[str],
-            now: float) -> Restored:
+def restore(
+    header: Header, rows: Sequence[Remembered], entries: Entries, plans: Sequence[str], now: float
+) -> Restored:
     """Snapshot and journals as one, in the places that the plans have now.
 
     A journal begins before its snapshot is taken, so the two overlap: a promise counts once, a draw from a
--- a/tamarindfold/registry/server.py
+++ b/tamarindfold/registry/server.py
@@ -35,8 +35,9 @@
 class Registry:
     """One registry over one store."""
 
-    def __init__(self, store: Store, key: Ed25519PrivateKey, host: str, port: int,
-                 log: Callable[..., None]) -> None:
+    def __init__(
+        self, store: Store, key: Ed25519PrivateKey, host: str, port: int, log: Callable[..., None]
+    ) -> None:
         self.store, self.key, self.log = store, key, log
         self.clock = SteadyClock().now
         self.server = StreamServer((host, port), self._serve, backlog=1024)
@@ -86,8 +87,12 @@
         parts = urlsplit(request.target.decode())
         try:
             if (request.method, parts.path) == ("GET", "/v1/updates"):
-                return write.response(200, [(b"content-type", b"application/x-protobuf")],
-                                      self._update(parse_qs(parts.query)), request.keep_alive)
+                return write.response(
+                    200,
+                    [(b"content-type", b"application/x-protobuf")],
+                    self._update(parse_qs(parts.query)),
+                    request.keep_alive,
+                )
             if (request.method, parts.path) == ("POST", "/v1/use"):
                 self._use(request.body)
                 return write.response(200, [], b"", request.keep_alive)
@@ -95,8 +100,9 @@
             self.log("registry.store_broken", reason=str(error))
             return write.response(503, [], b"", request.keep_alive)
         except (ValueError, msgspec.MsgspecError) as error:
-            return write.response(400, [(b"content-type", b"text/plain")], str(error).encode(),
-                                  request.keep_alive)
+            return write.response(
+                400, [(b"content-type", b"text/plain")], str(error).encode(), request.keep_alive
+            )
         return write.response(404, [], b"", request.keep_alive)
 
     def _update(self, query: dict[str, list[str]]) -> bytes:
@@ -127,5 +133,9 @@
     def _use(self, body: bytes) -> None:
         by_name = self.store.history.state.by_name
         uses: list[Any] = msgspec.json.decode(body, type=list[Use])
-        self.store.note_use([(by_name.get(name, f"{name:016x}"), network, first, last, count)
-                             for name, network, first, last, count in uses])
+        self.store.note_use(
+            [
+                (by_name.get(name, f"{name:016x}"), network, first, last, count)
+                for name, network, first, last, count in uses
+            ]
+        )
--- a/tamarindfold/rehearsal/processes.py
+++ b/tamarindfold/rehearsal/processes.py
@@ -37,7 +37,10 @@
         with open(self.log, "ab") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-m", *self.module, *self.words],
-                stdout=subprocess.PIPE, stderr=log, start_new_session=True)
+                stdout=subprocess.PIPE,
+                stderr=log,
+                start_new_session=True,
+            )
         return self.line()
 
     def line(self) -> str:
@@ -106,8 +109,9 @@
         host, _, port = self.admin.rpartition(":")
         data = msgspec.json.encode(body) if body is not None else b""
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            status, told = ask(sock, ResponseReader(1 << 20), method, path, self.admin, data,
-                               [(b"connection", b"close")])
+            status, told = ask(
+                sock, ResponseReader(1 << 20), method, path, self.admin, data, [(b"connection", b"close")]
+            )
         answer = msgspec.json.decode(told)
         if status != 200:
             raise RuntimeError(f"{self.name}: {method} {path}: {answer}")
--- a/tamarindfold/rehearsal/run.py
+++ b/tamarindfold/rehearsal/run.py
@@ -28,8 +28,10 @@
     fleet.gateway_config(0)  # a bad configuration is told before anything is started
     try:
         fleet.start()
-        say(f"{len(fleet.gateways)} gateways, {len(fleet.servers)} servers up; "
-            f"{day.duration_ms / 1000:g} s to play")
+        say(
+            f"{len(fleet.gateways)} gateways, {len(fleet.servers)} servers up; "
+            f"{day.duration_ms / 1000:g} s to play"
+        )
         load = Load(day, fleet)
         began = fleet.clock()
 
--- a/tamarindfold/standins/fleet.py
+++ b/tamarindfold/standins/fleet.py
@@ -53,8 +53,14 @@
                     gevent.sleep(min(left, 3_600_000) / 1000)
                 # noted before it is written: a gateway cannot know it sooner than this
                 named = {line.address: [line.state, line.up_since_ms] for line in message.servers}
-                self.ledger.note(self.clock(), "told", peer=peer[0], kind=message.kind,
-                                 version=message.version, servers=named)
+                self.ledger.note(
+                    self.clock(),
+                    "told",
+                    peer=peer[0],
+                    kind=message.kind,
+                    version=message.version,
+                    servers=named,
+                )
                 sock.sendall(msgspec.json.encode(message) + b"\n")
         finally:
             self.followers.discard(news)
--- a/tamarindfold/standins/platform.py
+++ b/tamarindfold/standins/platform.py
@@ -43,8 +43,21 @@
 class PlatformBackend(Standin):
     """Answers each request with its id; the ledger tells what has come whole."""
 
-    kinds = frozenset((*_SPOILT, "endless", "huge", "extra", "interim", "bad_report", "error", "turn_away",
-                       "reset", "silent", "close"))
+    kinds = frozenset(
+        (
+            *_SPOILT,
+            "endless",
+            "huge",
+            "extra",
+            "interim",
+            "bad_report",
+            "error",
+            "turn_away",
+            "reset",
+            "silent",
+            "close",
+        )
+    )
 
     def __init__(self, config: BackendConfig) -> None:
         super().__init__(config.seed, open_ledger(config.ledger), config.faults, config.host, config.port)
@@ -60,9 +73,15 @@
         if call is None:
             sock.sendall(write.response(404, ()))
             return
-        self.ledger.note(self.clock(), "came", id=call.decode(), method=request.method,
-                         target=request.target.decode(), body=request.body.decode("latin-1"),
-                         budget=(request.get(names.BUDGET) or b"").decode())
+        self.ledger.note(
+            self.clock(),
+            "came",
+            id=call.decode(),
+            method=request.method,
+            target=request.target.decode(),
+            body=request.body.decode("latin-1"),
+            budget=(request.get(names.BUDGET) or b"").decode(),
+        )
         if self.config.work_ms:
             gevent.sleep(self.config.work_ms / 1000)
         for kind, bad in _SPOILT.items():
@@ -132,8 +151,12 @@
 
     def line(self, reset_: bool, instances: list[dict[str, Any]]) -> bytes:
         """One line of a watch."""
-        return msgspec.json.encode(
-            {"generation": self.generation, "reset": reset_, "instances": instances, "more": 1}) + b"\n"
+        return (
+            msgspec.json.encode(
+                {"generation": self.generation, "reset": reset_, "instances": instances, "more": 1}
+            )
+            + b"\n"
+        )
 
     def change(self, *instances: dict[str, Any]) -> None:
         """Change the list and tell it."""
--- a/tamarindfold/supervisor/driver.py
+++ b/tamarindfold/supervisor/driver.py
@@ -58,9 +58,18 @@
     if len(file.programs) > file.most_programs:
         raise ValueError(f"programs: over {file.most_programs}")
     try:
-        return Policy([Spec(p.name, tuple(p.after), p.ready_ms, p.stop_ms, Restarts(
-            p.restarts.most, p.restarts.within_ms, p.restarts.first_ms, p.restarts.most_ms))
-            for p in file.programs])
+        return Policy(
+            [
+                Spec(
+                    p.name,
+                    tuple(p.after),
+                    p.ready_ms,
+                    p.stop_ms,
+                    Restarts(p.restarts.most, p.restarts.within_ms, p.restarts.first_ms, p.restarts.most_ms),
+                )
+                for p in file.programs
+            ]
+        )
     except ValueError as error:
         raise ValueError(f"programs: {error}") from None
 
@@ -126,8 +135,9 @@
     def _prepare(self, words: list[str]) -> bool:
         """Run a command to its end; whether it ended well."""
         with open(self.logs / "prepare.log", "ab") as log:
-            status = subprocess.call([sys.executable, "-m", "tamarindfold.cli.main", *words], stdout=log,
-                                     stderr=log)
+            status = subprocess.call(
+                [sys.executable, "-m", "tamarindfold.cli.main", *words], stdout=log, stderr=log
+            )
         self.say(f"prepare {' '.join(words)}: {'done' if status == 0 else f'ended with {status}'}")
         return bool(status == 0)
 
@@ -142,9 +152,13 @@
     def _start(self, name: str) -> None:
         with open(self.logs / f"{name}.log", "ab") as log:
             self.children[name] = child = subprocess.Popen(
-                [sys.executable, "-m", "tamarindfold.cli.main", *self.words[name]], stdout=subprocess.PIPE,
-                stderr=log, start_new_session=True, pass_fds=(self.held,),
-                env=os.environ | {LIFELINE: str(self.held)})
+                [sys.executable, "-m", "tamarindfold.cli.main", *self.words[name]],
+                stdout=subprocess.PIPE,
+                stderr=log,
+                start_new_session=True,
+                pass_fds=(self.held,),
+                env=os.environ | {LIFELINE: str(self.held)},
+            )
         gevent.spawn(self._watch, name, child)
 
     def _watch(self, name: str, child: subprocess.Popen) -> None:
--- a/tamarindfold/supervisor/policy.py
+++ b/tamarindfold/supervisor/policy.py
@@ -164,8 +164,10 @@
         actions: list[Action] = []
         for name in reversed(self.order):
             state = self.states[name]
-            needed = any(name in other.spec.after and other.phase not in (Phase.STOPPED, Phase.GIVEN_UP)
-                         for other in self.states.values())
+            needed = any(
+                name in other.spec.after and other.phase not in (Phase.STOPPED, Phase.GIVEN_UP)
+                for other in self.states.values()
+            )
             if state.phase in (Phase.STARTING, Phase.READY) and not needed:
                 state.phase, state.until_ms = Phase.STOPPING, now + state.spec.stop_ms
                 actions.append(End(name))
