--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -188,13 +188,13 @@
 class _Before(Core):
     """Without the look at the lease."""
 
-    def turned(self, beat: bool = True) -> None:
+    def on_loop_turn(self, heartbeat: bool = True) -> None:
         now = self.clock()
-        gone = now - self.turned_at
-        if gone > self.stall_ms and self.awake.is_set():
+        gone = now - self.last_turn_ms
+        if gone > self.stall_ms and self.resumed.is_set():
             raise AssertionError("no standstill here")
-        if beat or gone > self.stall_ms:
-            self.turned_at = now
+        if heartbeat or gone > self.stall_ms:
+            self.last_turn_ms = now
 
 
 def added_ns() -> float:
@@ -204,9 +204,9 @@
         1,
     )
     made = [kind(gateway, lambda: 0.0, lambda *_, **__: None) for kind in (Core, _Before)]
-    made[0].led_until_ms = 1e18
+    made[0].lease_until_ms = 1e18
     number = 200_000
-    took = [min(timeit.repeat(partial(core.turned, False), number=number, repeat=9)) for core in made]
+    took = [min(timeit.repeat(partial(core.on_loop_turn, False), number=number, repeat=9)) for core in made]
     return (took[0] - took[1]) / number * 1e9
 
 
--- a/benchmarks/ingress.py
+++ b/benchmarks/ingress.py
@@ -57,7 +57,7 @@
             while reader.ready:
                 request = reader.ready.popleft()
                 turn = (turn + 1) % len(backends)
-                connection = pool.take(backends[turn]) or pool.connect(
+                connection = pool.acquire_idle(backends[turn]) or pool.connect(
                     backends[turn], split_address(servers[turn], "server"), 1.0
                 )
                 answer = connection.reader
@@ -68,7 +68,7 @@
                 )
                 answer.read(connection.sock.recv)
                 headers = [h for h in answer.headers if h[0] not in write.HOP_BY_HOP]
-                pool.give_back(connection)
+                pool.release(connection)
                 sock.sendall(write.response(answer.status, headers, answer.body))
 
     gc.collect()
--- a/tamarindfold/agreement/driver.py
+++ b/tamarindfold/agreement/driver.py
@@ -22,7 +22,7 @@
 from tamarindfold.agreement.state import encode
 from tamarindfold.ds.backoff import Backoff
 from tamarindfold.ds.durable import replace
-from tamarindfold.http1.ask import ask
+from tamarindfold.http1.client import send_request
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.identity.wire import BadUpdate
 from tamarindfold.links.follower import Follower
@@ -189,7 +189,9 @@
             wait_ms = window_ms / WAITS
             sock.settimeout((wait_ms + window_ms) / 1000)
             asked = self.lease.ask(now_ms(), wait_ms)
-            status, body = ask(sock, reader, "POST", "/v1/renew", host, msgspec.msgpack.encode(asked))
+            status, body = send_request(
+                sock, reader, "POST", "/v1/renew", host, msgspec.msgpack.encode(asked)
+            )
             if status != 200:
                 raise ValueError(f"keeper {keeper} answered {status}")
             self._answered(keeper, body)
--- a/tamarindfold/agreement/operator.py
+++ b/tamarindfold/agreement/operator.py
@@ -12,7 +12,7 @@
 
 from tamarindfold.agreement import wire
 from tamarindfold.agreement.state import decode
-from tamarindfold.http1.ask import ask
+from tamarindfold.http1.client import send_request
 from tamarindfold.http1.responses import BadResponse, ResponseReader
 from tamarindfold.identity.wire import BadUpdate
 
@@ -37,7 +37,7 @@
         try:
             with socket.create_connection((host, port), timeout=CALL_S) as sock:
                 reader = ResponseReader(wire.BODY_BYTES)
-                status, answer = ask(
+                status, answer = send_request(
                     sock, reader, "POST", path, f"{host}:{port}", body, [(b"connection", b"close")]
                 )
         except (OSError, BadResponse) as error:
--- a/tamarindfold/http1/__init__.py
+++ b/tamarindfold/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages without I/O: bytes in, whole messages out (RFC 9112), parsed by llhttp."""
+"""HTTP/1.1 messages without I/O: parsed incrementally with llhttp and serialised to bytes (RFC 9112)."""
--- a/tamarindfold/http1/ask.py
+++ b/tamarindfold/http1/client.py
@@ -1,4 +1,4 @@
-"""One request and its whole answer on a connection of one's own."""
+"""Sends one request on a connection and reads its complete response."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tamarindfold.http1.responses import ResponseReader
 
 
-def ask(
+def send_request(
     sock: Any,
     reader: ResponseReader,
     method: str,
@@ -18,7 +18,10 @@
     body: bytes = b"",
     headers: Headers | None = None,
 ) -> tuple[int, bytes]:
-    """Status and body; sock: any socket. OSError where the connection ends, BadResponse for a bad answer."""
+    """Send a request and return the status and body of its response; sock may be any kind of socket.
+
+    Raises OSError if the connection fails, BadResponse for a malformed or oversized response.
+    """
     reader.begin()
     sock.sendall(write.request(method, target.encode(), host.encode(), headers or [], body))
     reader.read(sock.recv)
--- a/tamarindfold/http1/requests.py
+++ b/tamarindfold/http1/requests.py
@@ -1,4 +1,4 @@
-"""Requests from bytes, within bounds; whatever two parsers could read in two ways is turned away."""
+"""Incremental parsing of requests within size limits. Ambiguous framing is rejected (request smuggling)."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-URL_BYTES = 8192  # RFC 9112 section 3 asks for 8000 at least
+MAX_TARGET_BYTES = 8192  # RFC 9112 section 3 recommends at least 8000
 
 
 class Rejected(Exception):
-    """A request that gets a 4xx or 5xx from the reader itself; the connection can't be read any further."""
+    """A request that is answered with `status` without being processed.
+
+    If the reader raised it, nothing more can be read from the connection.
+    """
 
     def __init__(self, status: int, detail: str) -> None:
         super().__init__(detail)
@@ -22,7 +25,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One whole request; header names are in lower case."""
+    """One complete request; header names are in lower case."""
 
     method: str = ""
     target: bytes = b""
@@ -32,7 +35,7 @@
     version: str = "1.1"
 
     def get(self, name: bytes) -> bytes | None:
-        """The value of a header that may stand once; Rejected(400) where it stands twice."""
+        """The value of a header that may occur once; Rejected(400) if it occurs twice."""
         found = None
         for known, value in self.headers:
             if known == name:
@@ -43,58 +46,61 @@
 
 
 class RequestReader:
-    """Collects the requests of one connection; `ready` holds those that are whole, in order."""
+    """Parses the requests of one connection; `ready` holds the complete ones, in order."""
 
     def __init__(self, header_bytes: int, header_count: int, body_bytes: int) -> None:
         self.header_bytes, self.header_count, self.body_bytes = header_bytes, header_count, body_bytes
         self.ready: deque[Request] = deque()
         self.in_message = self.in_body = self.closing = False
         self.wants_continue = False  # the client waits for 100 (Continue) before it sends the body
-        self._fault: Rejected | None = None
+        self._error: Rejected | None = None
         self._size = self._fed = 0
-        self._now = Request()
+        self._current = Request()
         self._body: list[bytes] = []
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; Rejected where they are malformed or beyond a bound."""
+        """Parse received bytes; Rejected if they are malformed or exceed a limit."""
         if self.closing:
-            return  # the client was told that this connection ends
+            return  # the last response announces that the connection closes
         if not self.in_body:
             self._fed += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.closing = True  # no upgrade is offered; what follows is in no protocol known here
+            self.closing = True  # no upgrade is offered; what follows is in another protocol
         except httptools.HttpParserError as error:
-            raise self._fault or Rejected(400, str(error)) from None
+            raise self._error or Rejected(400, str(error)) from None
         if not self.in_body and self.in_message and self._fed > self.header_bytes:
             raise Rejected(431, f"the header is over {self.header_bytes} bytes")
 
     def head(self) -> Request | None:
-        """The request whose header is whole and whose body is still to come; it ends the connection."""
+        """The request whose header is complete and whose body is not, or None.
+
+        It has no body and no keep-alive, since the connection can't be used after answering it.
+        """
         if not self.in_body:
             return None
-        now = self._now
-        return Request(now.method, now.target, now.headers, b"", False, now.version)
+        current = self._current
+        return Request(current.method, current.target, current.headers, b"", False, current.version)
 
-    # ---- called by the parser
+    # ---- callbacks of the parser
 
     def _reject(self, status: int, detail: str) -> None:
-        self._fault = Rejected(status, detail)
-        raise self._fault
+        self._error = Rejected(status, detail)
+        raise self._error
 
     def on_message_begin(self) -> None:
-        self.in_message, self._size, self._fault = True, 0, None
-        self._now, self._body = Request(), []
+        self.in_message, self._size, self._error = True, 0, None
+        self._current, self._body = Request(), []
 
     def on_url(self, part: bytes) -> None:
-        self._now.target += part
-        if len(self._now.target) > URL_BYTES:
-            self._reject(414, f"the target is over {URL_BYTES} bytes")
+        self._current.target += part
+        if len(self._current.target) > MAX_TARGET_BYTES:
+            self._reject(414, f"the target is over {MAX_TARGET_BYTES} bytes")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        headers = self._now.headers
+        headers = self._current.headers
         headers.append((name.lower(), value))
         self._size += len(name) + len(value) + 4
         if len(headers) > self.header_count:
@@ -103,27 +109,27 @@
             self._reject(431, f"the header is over {self.header_bytes} bytes")
 
     def on_headers_complete(self) -> None:
-        now = self._now
-        now.method = self._parser.get_method().decode()
-        now.version = self._parser.get_http_version()
+        current = self._current
+        current.method = self._parser.get_method().decode()
+        current.version = self._parser.get_http_version()
         self.in_body = True
         hosts = length = 0
-        for name, value in now.headers:
+        for name, value in current.headers:
             if name == b"host":
                 hosts += 1
             elif name == b"content-length":
                 length = int(value)
             elif name == b"transfer-encoding" and value.strip().lower() != b"chunked":
                 self._reject(501, "only the transfer coding chunked is known")
-            elif name == b"transfer-encoding" and now.version != "1.1":
+            elif name == b"transfer-encoding" and current.version != "1.1":
                 self._reject(400, "a transfer coding in HTTP/1.0")  # RFC 9112 section 6.1
             elif name == b"expect":
                 if value.lower() != b"100-continue":
                     self._reject(417, "only the expectation 100-continue is known")
-                self.wants_continue = now.version == "1.1"
-        if now.version not in ("1.0", "1.1"):
+                self.wants_continue = current.version == "1.1"
+        if current.version not in ("1.0", "1.1"):
             self._reject(505, "only HTTP/1.0 and HTTP/1.1 are spoken")
-        if hosts > 1 or (not hosts and now.version == "1.1"):
+        if hosts > 1 or (not hosts and current.version == "1.1"):
             self._reject(400, "a request needs exactly one Host")  # RFC 9112 section 3.2
         if length > self.body_bytes:
             self._reject(413, f"the body is over {self.body_bytes} bytes")
@@ -139,11 +145,11 @@
             self._reject(413, f"the body is over {self.body_bytes} bytes")
 
     def on_message_complete(self) -> None:
-        now = self._now
-        now.body = b"".join(self._body)
-        now.keep_alive = bool(self._parser.should_keep_alive())
+        current = self._current
+        current.body = b"".join(self._body)
+        current.keep_alive = bool(self._parser.should_keep_alive())
         self.in_message = self.in_body = self.wants_continue = False
         self._fed, self._body = 0, []
-        self.ready.append(now)
-        if not now.keep_alive:
+        self.ready.append(current)
+        if not current.keep_alive:
             self.closing = True
--- a/tamarindfold/http1/serve.py
+++ b/tamarindfold/http1/serve.py
@@ -1,4 +1,4 @@
-"""One connection of clients that ask for small things: its requests in turn, each with its answer."""
+"""Serves the small requests of one connection, one after another."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from tamarindfold.http1.requests import Rejected, Request, RequestReader
 
 
-def serve(sock: Any, reader: RequestReader, answer: Callable[[Request], bytes]) -> None:
-    """Until the connection ends; sock: any socket, which stays the caller's to close."""
+def serve(sock: Any, reader: RequestReader, handler: Callable[[Request], bytes]) -> None:
+    """Answer requests until the connection ends; sock may be any socket and is closed by the caller."""
     try:
         sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
         while data := sock.recv(65536):
             reader.feed(data)
             while reader.ready:
-                sock.sendall(answer(reader.ready.popleft()))
-    except Rejected as fault:
-        sock.sendall(write.response(fault.status, [], fault.detail.encode(), False))
+                sock.sendall(handler(reader.ready.popleft()))
+    except Rejected as error:
+        sock.sendall(write.response(error.status, [], error.detail.encode(), False))
     except OSError:
         pass
--- a/tamarindfold/http1/write.py
+++ b/tamarindfold/http1/write.py
@@ -1,11 +1,11 @@
-"""Messages as bytes."""
+"""Serialises requests and responses."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from http import HTTPStatus
 
-# of one connection only, never passed on (RFC 9110 section 7.6.1)
+# headers of a single connection, which must not be forwarded (RFC 9110 section 7.6.1)
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -27,7 +27,7 @@
 def request(
     method: str, target: bytes, host: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
 ) -> bytes:
-    """A request with a length where it has a body or its method usually has one."""
+    """A request; with content-length if it has a body or its method usually has one."""
     out = [method.encode(), b" ", target, b" HTTP/1.1\r\nhost: ", host, b"\r\n"]
     for name, value in headers:
         out += (name, b": ", value, b"\r\n")
@@ -44,7 +44,7 @@
     keep_alive: bool = True,
     no_body: bool = False,
 ) -> bytes:
-    """A response with its length; no_body: to a HEAD, or a status that has none."""
+    """A response with its content-length; no_body: the body is omitted, as in the response to a HEAD."""
     out = [b"HTTP/1.1 ", str(status).encode(), b" ", _REASONS.get(status, b"Unknown"), b"\r\n"]
     for name, value in headers:
         out += (name, b": ", value, b"\r\n")
--- a/tamarindfold/identity/driver.py
+++ b/tamarindfold/identity/driver.py
@@ -12,7 +12,7 @@
 from gevent.event import AsyncResult
 
 from tamarindfold.ds.backoff import Backoff
-from tamarindfold.http1.ask import ask
+from tamarindfold.http1.client import send_request
 from tamarindfold.http1.responses import BadResponse, ResponseReader
 from tamarindfold.identity import copy, resolve
 from tamarindfold.identity.confirm import Confirmations, Put, Release
@@ -115,7 +115,9 @@
                 gevent.Timeout(CONFIRM_S),
                 socket.create_connection(self.registry, CONNECT_S, self.source) as sock,
             ):
-                status, body = ask(sock, ResponseReader(UPDATE_BYTES), "GET", self._target(0.0), HOST)
+                status, body = send_request(
+                    sock, ResponseReader(UPDATE_BYTES), "GET", self._target(0.0), HOST
+                )
             good = status == 200 and self._take(body)
         except (OSError, BadResponse, gevent.Timeout) as error:
             self.log("identity.not_confirmed", reason=str(error) or type(error).__name__)
@@ -180,7 +182,7 @@
         reader = ResponseReader(UPDATE_BYTES)
         sock.settimeout(self.wait_ms / 1000 + LATE_S)
         while True:
-            status, body = ask(sock, reader, "GET", self._target(self.wait_ms), HOST)
+            status, body = send_request(sock, reader, "GET", self._target(self.wait_ms), HOST)
             if status != 200:
                 raise BadResponse(f"status {status}")
             if self._take(body):
@@ -262,7 +264,7 @@
             try:
                 with socket.create_connection(self.registry, CONNECT_S, self.source) as sock:
                     sock.settimeout(LATE_S)
-                    status, _ = ask(sock, ResponseReader(1 << 16), "POST", "/v1/use", HOST, body)
+                    status, _ = send_request(sock, ResponseReader(1 << 16), "POST", "/v1/use", HOST, body)
                 if status != 200:
                     self.log("identity.use_not_reported", reason=f"status {status}")
             except (OSError, BadResponse) as error:
--- a/tamarindfold/ingress/__init__.py
+++ b/tamarindfold/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The running gateway: sockets, timers and the clock; every choice comes from the module."""
+"""The running gateway: sockets, timers and clock. All decisions are made by `tamarindfold.choice`."""
--- a/tamarindfold/ingress/admission.py
+++ b/tamarindfold/ingress/admission.py
@@ -57,7 +57,9 @@
 
 def passed_on(headers: Headers) -> Headers:
     """The headers that go to the other side: neither those of one connection nor the gateway's own."""
-    kept = [pair for pair in headers if pair[0] not in _NOT_PASSED and not pair[0].startswith(names.OWN)]
+    kept = [
+        pair for pair in headers if pair[0] not in _NOT_PASSED and not pair[0].startswith(names.OWN_PREFIX)
+    ]
     for name, value in headers:
         if name == b"connection" and value.lower() not in (b"close", b"keep-alive"):
             named = {word.strip().lower() for word in value.split(b",")}
--- a/tamarindfold/ingress/agreed.py
+++ b/tamarindfold/ingress/agreed.py
@@ -77,7 +77,7 @@
             raise NotAgreed(f"version {acting.version}: {error}") from None
         self.good = acting.document
         self.ingress = Ingress(config, self.log, number=crc32(self.agreement.name.encode()))
-        self.ingress.core.lease_ended = self.changed
+        self.ingress.core.on_lease_end = self.changed
         self.ingress.hindrance, self.ingress.agreement = self._hindrance, self.counts
         self._settle(acting, True)
         return self.ingress
@@ -126,7 +126,7 @@
     def _settle(self, acting: Acting, newcomer: bool = False) -> None:
         assert self.ingress is not None
         core = self.ingress.core
-        core.led_until_ms = self.agreement.led_until_ms if acting.led else None
+        core.lease_until_ms = self.agreement.led_until_ms if acting.led else None
         before = self.applied
         if acting == before:
             return
--- a/tamarindfold/ingress/answers.py
+++ b/tamarindfold/ingress/answers.py
@@ -10,7 +10,7 @@
 from tamarindfold.http1.requests import Headers, Rejected
 from tamarindfold.ingress import headers as names
 from tamarindfold.ingress.admission import Forbidden, passed_on
-from tamarindfold.ingress.exchange import Expired, Failed, Final, Refused, Served
+from tamarindfold.ingress.exchange import TokenExpired, Failed, Final, Refused, Served
 from tamarindfold.interface import Why
 from tamarindfold.introspection.bearer import challenge
 
@@ -112,6 +112,6 @@
                 None,
                 no_body,
             )
-        case Expired():
+        case TokenExpired():
             return unauthorized(401, "invalid_token", "the token has expired", name, keep_alive)
     return b""
--- a/tamarindfold/ingress/arrival.py
+++ b/tamarindfold/ingress/arrival.py
@@ -1,6 +1,7 @@
-"""When bytes came, by the kernel's word: a process that is busy, or held back, reads them late.
+"""Kernel receive timestamps: when bytes arrived, independent of when this process read them.
 
-Without it a gateway short of CPU would take its own delay for slow servers, refuse, and be asked again.
+A gateway that is short of CPU reads late. Without these timestamps it would attribute its own delay to the
+servers, refuse requests for that reason and cause retries.
 """
 
 from __future__ import annotations
@@ -12,24 +13,24 @@
 
 from gevent import socket
 
-SO_TIMESTAMPNS = 35  # Linux, socket(7); Python 3.11 does not name it
-ROOM = 64  # bytes for the one ancillary message
+SO_TIMESTAMPNS = 35  # Linux, socket(7); Python 3.11 does not define it
+ANCILLARY_BYTES = 64  # buffer for the one ancillary message
 _TIMESPEC = Struct("@qq")
 
 
-def stamp(sock: socket.socket) -> None:
-    """Have the kernel note when bytes come; connections accepted on a listener do as it does."""
-    with suppress(OSError):  # not known here: arrival is when they are read
+def enable_arrival_timestamps(sock: socket.socket) -> None:
+    """Make the kernel record when bytes arrive; connections accepted on a listening socket inherit this."""
+    with suppress(OSError):  # not supported here: the time of reading is used instead
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
 def receive(sock: socket.socket, size: int, clock: Callable[[], float]) -> tuple[bytes, float]:
-    """What recv gives, and when the last byte of it came, in the clock's milliseconds."""
-    data, notes, _, _ = sock.recvmsg(size, ROOM)
+    """Like recv, with the arrival time of the last byte in the clock's milliseconds."""
+    data, ancillary, _, _ = sock.recvmsg(size, ANCILLARY_BYTES)
     now = clock()
-    for level, kind, note in notes:
-        if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(note) == _TIMESPEC.size:
-            seconds, nanoseconds = _TIMESPEC.unpack(note)
+    for level, kind, payload in ancillary:
+        if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(payload) == _TIMESPEC.size:
+            seconds, nanoseconds = _TIMESPEC.unpack(payload)
             age = (time.time() - seconds) * 1000 - nanoseconds / 1e6
             return data, now - max(0.0, age)
     return data, now
--- a/tamarindfold/ingress/servers.py
+++ b/tamarindfold/ingress/backend_adapter.py
@@ -1,4 +1,4 @@
-"""What the gateway speaks with its own kind of servers: addresses in their numbers, headers of its own."""
+"""The adapter for servers that use the gateway's own headers and whose number encodes their address."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from tamarindfold.config.derive import backend_address
 from tamarindfold.http1 import write
-from tamarindfold.http1.figures import figures
+from tamarindfold.http1.number_pairs import parse_number_pairs
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.ingress import headers as names
 from tamarindfold.ingress.exchange import Exchange
@@ -17,15 +17,15 @@
 
 @lru_cache(maxsize=4096)
 def _server(backend: int) -> tuple[tuple[str, int], bytes]:
-    """Address of a server, and how a Host header names it."""
+    """The address of a server and the value of its Host header."""
     host, port = backend_address(backend)
     return (host, port), f"{host}:{port}".encode()
 
 
-class Servers:
-    """Words requests and reads answers (see ingress/headers.py)."""
+class TamarindBackendAdapter:
+    """Implements `BackendAdapter` with the headers of ingress/headers.py."""
 
-    whole = False
+    needs_complete_request = False
 
     def __init__(self, settings: Callable[[], Settings], log: Callable[..., None]) -> None:
         self.settings, self.log = settings, log
@@ -33,8 +33,8 @@
     def address(self, backend: int) -> tuple[str, int]:
         return _server(backend)[0]
 
-    def place(self, backend: int) -> object:
-        return None  # the number is the address; a process that starts anew there closes what it had
+    def process_identity(self, backend: int) -> object:
+        return None  # the number is the address, and a restart of the process closes its connections
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
         cls = self.settings().classes[exchange.cls].name.encode()
@@ -52,11 +52,11 @@
         )
 
     def plan(self, number: int) -> bytes:
-        """A plan's name: plans may change while requests are open."""
+        """The current name of a plan; plans may change while requests are open."""
         return self.settings().plans[number].name.encode()
 
     def outcome(self, reader: ResponseReader) -> Outcome:
-        """5xx is the server's failure, all else its answer to the client."""
+        """A 5xx status is a server failure; anything else is an answer for the client."""
         if reader.status < 500:
             return Outcome.OK
         return Outcome.FULL if reader.status == 503 and reader.get(names.FULL) == b"1" else Outcome.ERROR
@@ -75,4 +75,4 @@
 
     def report(self, reader: ResponseReader) -> tuple[float, ...]:
         fields = self.settings().report_fields
-        return figures(reader.get(names.LOAD), fields) if fields else ()
+        return parse_number_pairs(reader.get(names.LOAD), fields) if fields else ()
--- a/tamarindfold/ingress/background.py
+++ b/tamarindfold/ingress/background.py
@@ -1,4 +1,4 @@
-"""Runs background jobs a slice at a time beside the request path (ds.scheduler decides which and when)."""
+"""Runs background jobs in short slices beside the request path; `ds.scheduler` decides which one and when."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 from tamarindfold.ds.scheduler import Job, Scheduler
 
-LEAST_PAUSE_S = 0.0005
-MOST_PAUSE_S = 0.25
+MIN_PAUSE_S = 0.0005
+MAX_PAUSE_S = 0.25
 
 
 def precise_ms() -> float:
-    """For timing slices."""
+    """A high-resolution time in milliseconds, for measuring slices."""
     return time.perf_counter() * 1000
 
 
 class Background:
-    """One greenlet for all jobs."""
+    """Runs all background jobs in one greenlet."""
 
     def __init__(self, part: float, log: Callable[..., None]) -> None:
+        """part: the fraction of time that all jobs together may use."""
         self.scheduler, self.log = Scheduler(part), log
         self._greenlet: gevent.Greenlet | None = None
 
@@ -32,7 +33,7 @@
         every_ms: float,
         priority: int = 0,
     ) -> Job:
-        """A job: `begin` gives an iterator of slices, or does it all at once and gives None."""
+        """Add a job; `begin` returns an iterator over its slices, or does all the work and returns None."""
 
         def work() -> Iterator[float | None]:
             slices = begin()
@@ -42,11 +43,11 @@
         return self.scheduler.add(Job(name, work, every_ms, priority), precise_ms())
 
     def start(self) -> None:
-        """From now on jobs are run."""
+        """Start running jobs."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """A job in the midst of its work is ended there."""
+        """Stop; a job between two slices is closed there."""
         if self._greenlet is not None:
             self._greenlet.kill()
         for job in self.scheduler.jobs:
@@ -58,16 +59,16 @@
         while True:
             job, wait_ms = self.scheduler.next(precise_ms())
             if job is None:
-                gevent.sleep(min(MOST_PAUSE_S, max(LEAST_PAUSE_S, wait_ms / 1000)))
+                gevent.sleep(min(MAX_PAUSE_S, max(MIN_PAUSE_S, wait_ms / 1000)))
                 continue
-            fault = self.scheduler.run(job, precise_ms)
-            if fault is not None:
-                self.log("background.failed", job=job.name, reason=f"{type(fault).__name__}: {fault}")
-            # a timer, so that the loop looks at its sockets: sleep(0) in a row kept them waiting for 10 ms
-            gevent.sleep(LEAST_PAUSE_S)
+            error = self.scheduler.run(job, precise_ms)
+            if error is not None:
+                self.log("background.failed", job=job.name, reason=f"{type(error).__name__}: {error}")
+            # A timer makes the loop poll its sockets; repeated sleep(0) kept them waiting for 10 ms.
+            gevent.sleep(MIN_PAUSE_S)
 
     def counts(self) -> dict[str, dict[str, float]]:
-        """By job: runs, slices, the longest slice and the whole time in milliseconds."""
+        """By job: completed runs, slices, failures, the longest slice and the total time in milliseconds."""
         return {
             job.name: {
                 "runs": job.runs,
--- a/tamarindfold/ingress/clock.py
+++ b/tamarindfold/ingress/clock.py
@@ -1,15 +1,18 @@
-"""The one clock: monotonic, and near enough to the other gateways' for the counter's names."""
+"""The gateway's clock: monotonic, and close to the clocks of other gateways.
+
+The names of shared counters contain the time, so all gateways must agree on it approximately.
+"""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-SLEW = 0.005  # of the time gone by: how fast the clock is drawn toward the wall clock, never backward
+SLEW = 0.005  # at most this fraction of the elapsed time is corrected
 
 
 class SteadyClock:
-    """Milliseconds since the epoch that never go back: a monotonic clock drawn slowly to the wall clock."""
+    """Milliseconds since the epoch that never go back: a monotonic clock slewed towards the wall clock."""
 
     def __init__(
         self, monotonic: Callable[[], float] = time.monotonic, wall: Callable[[], float] = time.time
@@ -19,15 +22,18 @@
         self._base_ms = wall() * 1000
 
     def now(self) -> float:
-        """The time in milliseconds."""
+        """The current time in milliseconds since the epoch."""
         return self._base_ms + (self._monotonic() - self._at) * 1000
 
     def slew(self) -> float:
-        """Called now and then: moves by at most SLEW of the time since the last call; gives what is left."""
+        """Correct the clock by at most SLEW of the time since the last call; to be called periodically.
+
+        Returns the offset from the wall clock before the correction, in milliseconds.
+        """
         at = self._monotonic()
-        gone_ms = (at - self._at) * 1000
-        self._base_ms += gone_ms
+        elapsed_ms = (at - self._at) * 1000
+        self._base_ms += elapsed_ms
         self._at = at
-        off = self._wall() * 1000 - self._base_ms
-        self._base_ms += max(-SLEW * gone_ms, min(SLEW * gone_ms, off))
-        return off
+        offset_ms = self._wall() * 1000 - self._base_ms
+        self._base_ms += max(-SLEW * elapsed_ms, min(SLEW * elapsed_ms, offset_ms))
+        return offset_ms
--- a/tamarindfold/ingress/connection.py
+++ b/tamarindfold/ingress/connection.py
@@ -26,7 +26,7 @@
 from tamarindfold.http1.requests import Rejected, Request, RequestReader
 from tamarindfold.ingress.arrival import receive
 from tamarindfold.ingress.core import Core
-from tamarindfold.ingress.exchange import Exchange, Failed, Final, Left
+from tamarindfold.ingress.exchange import Exchange, Failed, Final, ClientLeft
 from tamarindfold.ingress.timers import Timers
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -218,7 +218,7 @@
             return None
         self.late = front.done
         began = front.clock()
-        timer = front.timers.at(began + self.phase_ms(0), self.hurry)
+        timer = front.timers.schedule(began + self.phase_ms(0), self.hurry)
         phase = continued = 0  # 0 idle, 1 header, 2 body
         front.reading[self] = None
         front.idle[self] = began
@@ -241,10 +241,10 @@
                 if not reader.ready and (now_in := 2 if reader.in_body else 1) > phase:
                     phase = now_in
                     self.late = front.done
-                    front.timers.off(timer)
-                    timer = front.timers.at(front.clock() + self.phase_ms(phase), self.hurry)
+                    front.timers.cancel(timer)
+                    timer = front.timers.schedule(front.clock() + self.phase_ms(phase), self.hurry)
         finally:
-            front.timers.off(timer)
+            front.timers.cancel(timer)
             front.reading.pop(self, None)
             front.idle.pop(self, None)
         return reader.ready.popleft()
@@ -320,10 +320,10 @@
         # the module answers in time; should it not, the client still gets its one answer
         overdue = exchange.deadline_ms - self.limits.answer_margin_ms / OVERDUE_PART
         try:
-            front.core.arrive(exchange)
-            while exchange.todo or exchange.final is None:
-                if exchange.todo:
-                    sender.run(exchange.todo.pop(0))
+            front.core.submit(exchange)
+            while exchange.pending_attempts or exchange.final is None:
+                if exchange.pending_attempts:
+                    sender.run(exchange.pending_attempts.pop(0))
                 elif not self._wait(exchange, overdue):
                     front.counts["overdue"] += 1
                     front.log("request.overdue", request=exchange.name.decode())
@@ -331,29 +331,29 @@
         finally:
             self._unwatch(exchange)
             if exchange.final is None:  # this greenlet is being ended
-                front.core.withdraw(exchange, Left())
+                front.core.withdraw(exchange, ClientLeft())
         assert exchange.final is not None
         return front.words.final(exchange.final, exchange.name, self.keep, exchange.method == "HEAD")
 
     def _wait(self, exchange: Exchange, until: float) -> bool:
         """Wait for an attempt to carry out or for the answer; False where neither came."""
-        if exchange.woken is None:
-            exchange.woken = Event()
-        exchange.woken.clear()
-        woken: bool = exchange.woken.wait(max(0.0, until - self.front.clock()) / 1000)
+        if exchange.wakeup is None:
+            exchange.wakeup = Event()
+        exchange.wakeup.clear()
+        woken: bool = exchange.wakeup.wait(max(0.0, until - self.front.clock()) / 1000)
         return woken
 
     def _watch(self, exchange: Exchange) -> None:
         """From here on the client's leaving ends this request."""
         self.exchange, self.ahead = exchange, False
-        exchange.look = self.look
+        exchange.check_client = self.look
         if self.watcher is None:
             self.watcher = gevent.get_hub().loop.io(self.sock.fileno(), 1)
         self.watcher.start(self.look)
 
     def _unwatch(self, exchange: Exchange) -> None:
         self.watcher.stop()
-        self.exchange = exchange.look = None
+        self.exchange = exchange.check_client = None
 
     def look(self) -> None:
         """Take what lies on the client's socket; an end or a reset, also behind bytes: the client has left.
@@ -385,4 +385,4 @@
         self.left = True
         self.watcher.stop()
         if self.exchange is not None:
-            self.front.core.withdraw(self.exchange, Left())
+            self.front.core.withdraw(self.exchange, ClientLeft())
--- a/tamarindfold/ingress/core.py
+++ b/tamarindfold/ingress/core.py
@@ -1,8 +1,12 @@
-"""The one place that calls the module: events in, actions out, one after another.
+"""Connects the drivers (sockets, timers, counter) to the decision module `tamarindfold.choice.Gateway`.
 
-A request may end from outside while events about it wait (after a standstill): it stays in `withdrawn` until
-the module has heard of that, so that each Send has an outcome all the same, and what never reached the module
-is not decided any more.
+`Core` is the only caller of the decision module. It passes events to it one at a time and executes the
+actions that it returns.
+
+A request can end for an outside reason (the client disconnects, its token or its time expires) while events
+about it are still queued, which happens after the process was stalled. Such a request stays in `withdrawn`
+until the decision module has processed the withdrawal. Until then every `Send` for it still gets an outcome,
+and its arrival is skipped if the decision module has not seen it yet.
 """
 
 from __future__ import annotations
@@ -18,14 +22,14 @@
 
 from tamarindfold.choice import Gateway
 from tamarindfold.ingress.exchange import (
+    ClientLeft,
     Exchange,
-    Expired,
     Failed,
     Final,
-    Lapsed,
-    Left,
+    PermitLapsed,
     Refused,
     Served,
+    TokenExpired,
 )
 from tamarindfold.interface import (
     AttemptEnded,
@@ -52,54 +56,54 @@
     UsePassed,
     Why,
 )
-from tamarindfold.limits.open import OpenLimits
-
-SETTLE_S = 0.003  # after a standstill: long enough for all that lies on sockets to be read
+from tamarindfold.limits.open_requests import OpenRequestLimits
 
+# Pause after a stall before queued events are processed: long enough to read all data pending on the sockets.
+RESUME_DELAY_S = 0.003
 
-_KINDS: dict[type[Final], str] = {
+_FINAL_COUNTERS: dict[type[Final], str] = {
     Served: "served",
     Refused: "refused",
     Failed: "failed",
-    Expired: "expired",
-    Left: "left",
-    Lapsed: "lapsed",
+    TokenExpired: "expired",
+    ClientLeft: "left",
+    PermitLapsed: "lapsed",
 }
 
 
 class Sender(Protocol):
-    """What starts and stops attempts."""
+    """Starts, runs and cancels attempts."""
 
     def start(
         self, exchange: Exchange, attempt: int, entry: BackendEntry | None, backend: int, timeout_ms: float
     ) -> None:
-        """Begin an attempt; Core.attempt_ended is owed once, whatever happens."""
+        """Start an attempt. `Core.attempt_ended` must be called exactly once for it, whatever happens."""
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Stop waiting for an attempt."""
+        """Abort an attempt."""
 
     def forget(self, attempt: Any) -> None:
-        """An attempt that somebody else carried out has ended."""
+        """Remove an attempt that was not run here, such as one that a proxy carried out."""
 
     def run(self, attempt: Any) -> None:
-        """Carry out an attempt that was started, in the greenlet that calls."""
+        """Run a started attempt in the calling greenlet."""
 
 
-class Memory(Protocol):
-    """What keeps promises and spending across a restart."""
+class UsageRecorder(Protocol):
+    """Persists quota use and announced retry times across restarts."""
 
     def spent(self, customer: int, plan: int, width: int, units: float) -> None:
-        """A ceiling was drawn from."""
+        """Record units drawn from a customer's ceiling."""
 
     def refused(self, customer: int, plan: int, width: int, back_at_ms: float) -> None:
-        """A client was told when to come back."""
+        """Record a refusal and the time at which the client may retry."""
 
     def flush(self) -> None:
-        """Write what was noted."""
+        """Write all recorded entries."""
 
 
 class Core:
-    """Hands events to the module in order and carries out what it answers; never re-entered."""
+    """Passes events to the decision module in order and executes its actions. Event handling never nests."""
 
     def __init__(
         self,
@@ -110,25 +114,25 @@
     ) -> None:
         self.gateway, self.clock, self.log = gateway, clock, log
         self.sender: Sender | None = None
-        self.count: Callable[[Count], None] | None = None
-        self.open: dict[int, Exchange] = {}
-        self.withdrawn: dict[int, Exchange] = {}  # ended from outside, and the module was not told yet
+        self.send_count: Callable[[Count], None] | None = None  # sends a call to the shared counter
+        self.open_exchanges: dict[int, Exchange] = {}
+        self.withdrawn: dict[int, Exchange] = {}  # ended, but the decision module has not processed it yet
         self.fleet: dict[int, BackendEntry] = {}
-        # before everything else of the same turn
-        self.news: deque[FleetUpdate | SettingsChanged | StoodStill] = deque()
+        # processed before all other events that are waiting
+        self.priority_events: deque[FleetUpdate | SettingsChanged | StoodStill] = deque()
         self.events: deque[Event] = deque()
-        self.busy = False
-        self.stall_ms, self.turned_at = stall_ms, clock()
-        self.awake = GeventEvent()  # not set in the moments after a standstill
-        self.awake.set()
-        self.recorder: Memory | None = None
-        # by the monotonic clock: then the settings may be in force no more; None: they are its own
-        self.led_until_ms: float | None = None
-        self.lease_ended: Callable[[], None] = lambda: None  # settles that, before anything is decided
-        self.now = 0.0  # of the event in the module's hands
-        self.still_known: Callable[[Any], bool] | None = None  # whether a credential is good still
-        self.numbers = 0
-        self.limits = OpenLimits(gateway.settings.gateways, gateway.settings.index)
+        self.processing = False
+        self.stall_ms, self.last_turn_ms = stall_ms, clock()
+        self.resumed = GeventEvent()  # cleared for RESUME_DELAY_S after a stall
+        self.resumed.set()
+        self.recorder: UsageRecorder | None = None
+        # end of the lease on the settings, in milliseconds of time.monotonic(); None without a lease
+        self.lease_until_ms: float | None = None
+        self.on_lease_end: Callable[[], None] = lambda: None  # called before any further decision
+        self.event_time_ms = 0.0  # when the event being processed was passed to the decision module
+        self.is_credential_valid: Callable[[Any], bool] | None = None
+        self.last_request_number = 0
+        self.limits = OpenRequestLimits(gateway.settings.gateways, gateway.settings.index)
         self.counts = dict.fromkeys(
             (
                 "arrived",
@@ -149,20 +153,20 @@
         )
 
     def requests(self) -> dict[str, float]:
-        """What became of the requests, for the log; the units of the module's account among it."""
-        units = {f"units_{name}": round(sum_, 1) for name, sum_ in self.gateway.account.items()}
+        """Counts of requests by outcome and the unit totals of the decision module, for the log."""
+        units = {f"units_{name}": round(total, 1) for name, total in self.gateway.account.items()}
         return self.counts | units
 
     # ---- events from the drivers
 
-    def arrive(self, exchange: Exchange) -> None:
-        """A request is the module's from here on."""
-        self.open[exchange.number] = exchange
+    def submit(self, exchange: Exchange) -> None:
+        """Take a request over and post its arrival, unless the customer is at its limit of open requests."""
+        self.open_exchanges[exchange.number] = exchange
         self.counts["arrived"] += 1
         gateways = self.gateway.settings.gateways
         if limit := self.gateway.settings.plans[exchange.plan].open_limit:
             now = self.clock()
-            wait = self.limits.take(
+            wait = self.limits.acquire(
                 exchange.number, exchange.customer, limit, exchange.width, now, exchange.deadline_ms
             )
             if wait is not None:
@@ -175,7 +179,7 @@
                 exchange.plan,
                 exchange.cls,
                 exchange.units,
-                exchange.customer % gateways if exchange.first is None else exchange.first,
+                exchange.customer % gateways if exchange.first_gateway is None else exchange.first_gateway,
                 exchange.width,
                 max(0.0, exchange.give_up_ms - self.clock()),
                 exchange.retry,
@@ -183,9 +187,12 @@
         )
 
     def withdraw(self, exchange: Exchange, final: Final) -> None:
-        """The request ends from outside the module: its client left, its token or its time ran out."""
+        """End a request for a reason outside the decision module.
+
+        The client disconnected, its token expired or was revoked, or its time ran out.
+        """
         if self._finish(exchange, final):
-            if isinstance(final, Left):  # sent: before that could be known
+            if isinstance(final, ClientLeft):  # left_sent: an attempt was written before this was known
                 self.counts["left_sent" if exchange.written else "left_unsent"] += 1
             self.withdrawn[exchange.number] = exchange
             self.post(RequestWithdrawn(exchange.number))
@@ -201,20 +208,23 @@
         true_units: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """The one outcome of an attempt; the first ok answers the client by itself."""
+        """Record the outcome of an attempt, once for each; the first served response answers the client."""
         if outcome is Outcome.MOOT:
             self.counts["moot"] += 1
         if served is not None:
             self._finish(exchange, served)
-        over = exchange.final is not None
+        finished = exchange.final is not None
         self.post(
             AttemptEnded(
-                exchange.number, attempt, backend, outcome, elapsed_ms, over, None, true_units, report
+                exchange.number, attempt, backend, outcome, elapsed_ms, finished, None, true_units, report
             )
         )
 
-    def fleet_news(self, update: FleetUpdate) -> None:
-        """The list changed. What is sent from now on goes by it, whatever the module had chosen before."""
+    def update_fleet(self, update: FleetUpdate) -> None:
+        """Apply a change of the server list.
+
+        It affects all later sends, including those that the decision module has already chosen.
+        """
         if update.kind in (ListKind.FULL, ListKind.CACHED):
             self.fleet.clear()
         for entry in update.entries:
@@ -222,117 +232,130 @@
                 self.fleet.pop(entry.backend, None)
             else:
                 self.fleet[entry.backend] = entry
-        self.news.append(update)
-        self._pump()
+        self.priority_events.append(update)
+        self._process_events()
 
-    def settle(self, settings: Settings, newcomer: bool) -> None:
-        """Go by these settings from now on."""
+    def apply_settings(self, settings: Settings, newcomer: bool) -> None:
+        """Replace the settings in force.
+
+        newcomer: this instance has just received its share of the quotas.
+        """
         self.limits.resize(settings.gateways, settings.index)
-        self.news.append(SettingsChanged(settings, newcomer))
-        self._pump()
+        self.priority_events.append(SettingsChanged(settings, newcomer))
+        self._process_events()
 
-    def counted(self, answer: CountAnswered) -> None:
-        """The answer to one counter call."""
+    def on_count_answered(self, answer: CountAnswered) -> None:
+        """Handle the reply to one counter call."""
         self.post(answer)
 
-    def use_passed(self, customer: int, plan: int, units: float, width: int) -> None:
-        """A proxy let through what was not permitted."""
+    def record_unpermitted_use(self, customer: int, plan: int, units: float, width: int) -> None:
+        """Count the units of a request that a proxy let through without a permit."""
         if self.recorder is not None and self.gateway.settings.plans[plan].ceiling_rate:
             self.recorder.spent(customer, plan, width, units)
         self.post(UsePassed(customer, plan, units, width))
 
     def post(self, event: Event) -> None:
-        """Hand one event to the module, now or as soon as it is done with the one in hand."""
-        self.turned(False)
+        """Queue an event for the decision module.
+
+        It is processed at once unless another event is in progress or the delay after a stall is running.
+        """
+        self.on_loop_turn(False)
         self.events.append(event)
-        self._pump()
+        self._process_events()
 
-    # ---- standing still
+    # ---- stalls of the process
 
-    def turned(self, beat: bool = True) -> None:
-        """The loop turns; called by a beat, and before anything is decided, whichever comes first.
+    def on_loop_turn(self, heartbeat: bool = True) -> None:
+        """Check whether the lease has ended or the process was stalled.
 
-        After a standstill the answers, time-outs and requests of all that time lie there at once, and among
-        them perhaps the news that a server is to be left alone: for a moment only news are taken in.
+        Called by a periodic heartbeat and before every decision. After a stall the responses, time-outs and
+        requests of the whole interval are pending at once, possibly together with an update that drains a
+        server. Therefore only priority events are processed until RESUME_DELAY_S has passed.
         """
-        if self.led_until_ms is not None and monotonic() * 1000 >= self.led_until_ms:
-            self.led_until_ms = None
-            self.lease_ended()
+        if self.lease_until_ms is not None and monotonic() * 1000 >= self.lease_until_ms:
+            self.lease_until_ms = None
+            self.on_lease_end()
         now = self.clock()
-        gone = now - self.turned_at
-        if gone > self.stall_ms and self.awake.is_set():
-            self.awake.clear()
+        elapsed_ms = now - self.last_turn_ms
+        if elapsed_ms > self.stall_ms and self.resumed.is_set():
+            self.resumed.clear()
             self.counts["stalls"] += 1
-            self.log("instance.stood_still", for_ms=round(gone), open=len(self.open))
-            self.news.append(StoodStill(gone))
-            gevent.spawn(self._wake)
-        if beat or gone > self.stall_ms:
-            self.turned_at = now
-
-    def _wake(self) -> None:
-        gevent.sleep(SETTLE_S)
-        self.awake.set()
-        self._pump()
-
-    # ---- what an attempt may do
-
-    def hindrance(self, exchange: Exchange, entry: BackendEntry | None) -> str:
-        """Why the first byte of an attempt may not be written; empty where it may. Waits out the moment
-        after a standstill; behind that wait nothing yields, so what holds here holds at the write."""
-        self.turned(False)
-        if not self.awake.is_set():
-            self.awake.wait()
-        if exchange.look is not None:
-            exchange.look()  # its client's end may lie there since this very turn
+            self.log("instance.stood_still", for_ms=round(elapsed_ms), open=len(self.open_exchanges))
+            self.priority_events.append(StoodStill(elapsed_ms))
+            gevent.spawn(self._resume)
+        if heartbeat or elapsed_ms > self.stall_ms:
+            self.last_turn_ms = now
+
+    def _resume(self) -> None:
+        gevent.sleep(RESUME_DELAY_S)
+        self.resumed.set()
+        self._process_events()
+
+    # ---- checks before an attempt is written
+
+    def reason_not_to_send(self, exchange: Exchange, entry: BackendEntry | None) -> str:
+        """Why the first byte of an attempt must not be written; empty if it may be.
+
+        Waits until the delay after a stall is over. Nothing yields after that wait, so the result still holds
+        when the caller writes.
+        """
+        self.on_loop_turn(False)
+        if not self.resumed.is_set():
+            self.resumed.wait()
+        if exchange.check_client is not None:
+            exchange.check_client()  # the client may have disconnected in this turn of the loop
         if exchange.final is not None:
-            return "over"
+            return "request already answered"
         if self.clock() >= exchange.give_up_ms:
-            return "too late"
+            return "deadline passed"
         if entry is None:
-            return "gone"
-        now_listed = self.fleet.get(entry.backend)
-        if now_listed is None or now_listed.state is not BackendState.READY:
-            return "draining or gone"
-        if now_listed.up_since_ms != entry.up_since_ms:
-            return "another process"  # cold, where the module counted on a warm one
+            return "server not listed"
+        current = self.fleet.get(entry.backend)
+        if current is None or current.state is not BackendState.READY:
+            return "server draining or gone"
+        if current.up_since_ms != entry.up_since_ms:
+            return "server restarted"  # now cold, while the decision module assumed a warm process
         revoked = (
-            exchange.known is not None
-            and self.still_known is not None
-            and not self.still_known(exchange.known)
+            exchange.credential is not None
+            and self.is_credential_valid is not None
+            and not self.is_credential_valid(exchange.credential)
         )
         if revoked or self.clock() >= exchange.token_until_ms:
-            # nothing ran: the client is to bring a new token; else nobody can tell it that all is well
-            self.withdraw(exchange, Failed(False) if exchange.written else Expired())
+            # If nothing was written the client can safely retry with a new token; else the outcome is
+            # unknown.
+            self.withdraw(exchange, Failed(False) if exchange.written else TokenExpired())
             return "token expired or revoked"
         return ""
 
-    # ---- the module
+    # ---- the decision module
 
-    def _pump(self) -> None:
-        if self.busy:
+    def _process_events(self) -> None:
+        if self.processing:
             return
-        self.busy = True
+        self.processing = True
         try:
-            while self.news or (self.events and self.awake.is_set()):
-                event: Event = self.news.popleft() if self.news else self.events.popleft()
+            while self.priority_events or (self.events and self.resumed.is_set()):
+                event: Event = (
+                    self.priority_events.popleft() if self.priority_events else self.events.popleft()
+                )
                 if isinstance(event, RequestArrived) and event.request in self.withdrawn:
                     continue
-                self.now = self.clock()
-                for action in self.gateway.handle(self.now, event):
-                    self._carry_out(action)
+                self.event_time_ms = self.clock()
+                for action in self.gateway.handle(self.event_time_ms, event):
+                    self._execute(action)
                 if isinstance(event, RequestWithdrawn):
                     self.withdrawn.pop(event.request, None)
         finally:
-            self.busy = False
+            self.processing = False
             if self.recorder is not None:
-                self.recorder.flush()  # before any greenlet can write what was decided
+                self.recorder.flush()  # before any other greenlet can act on the decisions
 
-    def _carry_out(self, action: Any) -> None:
+    def _execute(self, action: Any) -> None:
         match action:
             case Send(request, backend, timeout_ms):
-                exchange = self.open.get(request)
+                exchange = self.open_exchanges.get(request)
                 if exchange is None:
-                    self._never_sent(request, backend)
+                    self._report_unsent(request, backend)
                     return
                 attempt, exchange.attempts = exchange.attempts, exchange.attempts + 1
                 self.counts["attempts"] += 1
@@ -345,18 +368,21 @@
                 assert self.sender is not None
                 self.sender.start(exchange, attempt, self.fleet.get(backend), backend, timeout_ms)
             case Refuse(request, retry_after_ms, why):
-                if (exchange := self.open.get(request)) is not None:
+                if (exchange := self.open_exchanges.get(request)) is not None:
                     if self.recorder is not None:
                         self.recorder.refused(
-                            exchange.customer, exchange.plan, exchange.width, self.now + retry_after_ms
+                            exchange.customer,
+                            exchange.plan,
+                            exchange.width,
+                            self.event_time_ms + retry_after_ms,
                         )
                     self._finish(exchange, Refused(retry_after_ms, why))
             case Fail(request):
-                if (exchange := self.open.get(request)) is not None:
+                if (exchange := self.open_exchanges.get(request)) is not None:
                     self._finish(exchange, Failed(self.clock() >= exchange.give_up_ms - 1))
             case Count():
-                if self.count is not None:
-                    self.count(action)
+                if self.send_count is not None:
+                    self.send_count(action)
                 else:
                     self.events.append(CountAnswered(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
             case Cancel(request, attempt):
@@ -369,8 +395,8 @@
             case _:
                 self.log("core.not_supported", action=type(action).__name__)
 
-    def _never_sent(self, request: int, backend: int) -> None:
-        """Decided before the module heard that nobody waits; without an outcome it would be out for ever."""
+    def _report_unsent(self, request: int, backend: int) -> None:
+        """Report a Send for a withdrawn request as not sent; without an outcome it would stay outstanding."""
         if (exchange := self.withdrawn.get(request)) is None:
             self.log("core.send_after_end", request=request)
             return
@@ -381,10 +407,11 @@
     def _finish(self, exchange: Exchange, final: Final) -> bool:
         if not exchange.finish(final):
             return False
-        self.open.pop(exchange.number, None)
-        self.counts[_KINDS[type(final)]] += 1
+        self.open_exchanges.pop(exchange.number, None)
+        self.counts[_FINAL_COUNTERS[type(final)]] += 1
         if isinstance(final, Refused):
             self.counts["refused_" + final.why.value] += 1
-        if not isinstance(final, Lapsed):  # nobody knows whether that still runs: its lease lasts its time
-            self.limits.end(exchange.number, self.clock())
+        # A request whose permit lapsed may still be running: it counts as open until its deadline.
+        if not isinstance(final, PermitLapsed):
+            self.limits.release(exchange.number, self.clock())
         return True
--- a/tamarindfold/ingress/door.py
+++ b/tamarindfold/ingress/door.py
@@ -64,7 +64,7 @@
     def settle(self, config: GatewayConfig, led: bool) -> None:
         """Go by these settings from now on; led: they are known to be in force."""
         self.admission = Admission(config)
-        self.admission.router.led = led
+        self.admission.router.has_lease = led
         self.stale_ok = [c.unchecked == "stale" for c in config.classes]
         self.plan_claim = config.customers.plan_claim
 
--- a/tamarindfold/ingress/exchange.py
+++ b/tamarindfold/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""One request taken: what is known of it, and its one final answer."""
+"""A client request while the gateway holds it, and the possible final answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """A server's answer, to be passed on."""
+    """A server's response, to be forwarded to the client."""
 
     status: int
     headers: Headers
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing ran; coming back after this time is harmless."""
+    """The request did not run; it is safe to retry after `retry_after_ms`."""
 
     retry_after_ms: float
     why: Why
@@ -32,71 +32,71 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Nothing is promised; late: the time ran out."""
+    """It is unknown whether the request ran; late: its time ran out."""
 
     late: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Expired:
-    """The token ran out before a try could be sent, and nothing of the request was."""
+class TokenExpired:
+    """The token expired or was revoked before any attempt was sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """The client went away; nobody is there to be told."""
+class ClientLeft:
+    """The client disconnected, so no answer is sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class Lapsed:
-    """A permit whose outcome nobody told: unknown for good."""
+class PermitLapsed:
+    """A proxy got a permit and never reported the outcome, which stays unknown."""
 
 
-Final = Served | Refused | Failed | Expired | Left | Lapsed
+Final = Served | Refused | Failed | TokenExpired | ClientLeft | PermitLapsed
 
 
 @dataclass(slots=True)
 class Exchange:
-    """A request in the module's hands. Times are the clock's milliseconds."""
+    """A request that the decision module is handling. Times are in the gateway clock's milliseconds."""
 
     number: int
-    name: bytes  # the request's name for client and servers
+    name: bytes  # the request's name towards the client and the servers
     cls: int
     customer: int
     plan: int
     units: float
     width: int
     retry: bool
-    deadline_ms: float  # the client's
-    give_up_ms: float  # the module's: the answer is owed by then
+    deadline_ms: float  # when the client gives up
+    give_up_ms: float  # when the decision module must have answered
     method: str
     target: bytes
     headers: Headers
     body: bytes
     token_until_ms: float = math.inf
-    known: Any = None  # the registry's word on the credential (identity.resolve.Known), where there is one
-    first: int | None = None  # the first gateway of the customer's set, where the client's side names it
+    credential: Any = None  # the registry's entry for the credential (identity.resolve.Known), if any
+    first_gateway: int | None = None  # first gateway of the customer's set, if the client names it
     attempts: int = 0
-    written: int = 0  # attempts of which at least one byte went out
+    written: int = 0  # attempts of which at least one byte was sent
     final: Final | None = None
-    todo: list[Any] | None = None  # attempts to be carried out by the request's greenlet
-    look: Callable[[], None] | None = None  # looks whether its client has left, and then withdraws it
-    woken: Event | None = None  # made only where that greenlet has nothing to do but wait
-
-    def work(self, attempt: Any) -> None:
-        """An attempt for the request's greenlet."""
-        if self.todo is None:
-            self.todo = [attempt]
+    pending_attempts: list[Any] | None = None  # started attempts that the request's greenlet is to run
+    check_client: Callable[[], None] | None = None  # withdraws the request if the client has disconnected
+    wakeup: Event | None = None  # created only when the request's greenlet has to wait
+
+    def add_attempt(self, attempt: Any) -> None:
+        """Queue an attempt for the request's greenlet."""
+        if self.pending_attempts is None:
+            self.pending_attempts = [attempt]
         else:
-            self.todo.append(attempt)
-        if self.woken is not None:
-            self.woken.set()
+            self.pending_attempts.append(attempt)
+        if self.wakeup is not None:
+            self.wakeup.set()
 
     def finish(self, final: Final) -> bool:
-        """Give the final answer; False where there was one already."""
+        """Set the final answer; False if there already was one."""
         if self.final is not None:
             return False
         self.final = final
-        if self.woken is not None:
-            self.woken.set()
+        if self.wakeup is not None:
+            self.wakeup.set()
         return True
--- a/tamarindfold/ingress/forward.py
+++ b/tamarindfold/ingress/forward.py
@@ -28,7 +28,7 @@
 from tamarindfold.ingress.admission import Asked
 from tamarindfold.ingress.core import Core
 from tamarindfold.ingress.door import Door
-from tamarindfold.ingress.exchange import Exchange, Failed, Final, Lapsed, Left, Refused, Served
+from tamarindfold.ingress.exchange import Exchange, Failed, Final, PermitLapsed, ClientLeft, Refused, Served
 from tamarindfold.ingress.front import Front, Pressed, TokenConnection
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.ingress.upstream import Attempt
@@ -105,13 +105,13 @@
 
     def passed(self, owed: Owed) -> None:
         """The proxy let through what was not permitted: it was used, so it is counted."""
-        self.core.use_passed(owed.customer, owed.plan, owed.units, self.width)
+        self.core.record_unpermitted_use(owed.customer, owed.plan, owed.units, self.width)
 
     def lapse(self, name: str, until_ms: float) -> None:
         """Nothing was reported in time."""
         permit = self.permits.lapse(name, until_ms, self.clock())
         if permit is not None:
-            self.core.withdraw(permit.attempt.exchange, Lapsed())
+            self.core.withdraw(permit.attempt.exchange, PermitLapsed())
             self._end(permit, Outcome.CANCELLED, 0.0, None, 0.0)
 
     def _end(
@@ -244,7 +244,7 @@
             return self._decide(exchange, name, decision)
         except BaseException:  # this greenlet is being ended: whoever joined it asks by itself
             if front.permits.names[name].decision is decision:
-                self._made(decision, exchange, name, Left())
+                self._made(decision, exchange, name, ClientLeft())
             raise
 
     def _decide(self, exchange: Exchange, name: str, decision: Decision) -> bytes:
@@ -254,11 +254,11 @@
         assert sender is not None
         self._watch(exchange)
         try:
-            core.arrive(exchange)
-            while exchange.todo or exchange.final is None:
-                if exchange.todo:
-                    attempt = exchange.todo.pop(0)
-                    if core.hindrance(exchange, attempt.entry):
+            core.submit(exchange)
+            while exchange.pending_attempts or exchange.final is None:
+                if exchange.pending_attempts:
+                    attempt = exchange.pending_attempts.pop(0)
+                    if core.reason_not_to_send(exchange, attempt.entry):
                         sender.forget(attempt)
                         core.attempt_ended(exchange, attempt.number, attempt.backend, Outcome.MOOT, 0.0)
                         continue
@@ -268,8 +268,8 @@
                     core.withdraw(exchange, Refused(front.section.decide_ms, Why.PRESSURE))
         finally:
             self._unwatch(exchange)
-            if exchange.final is None and exchange.number in core.open and not exchange.written:
-                core.withdraw(exchange, Left())  # this greenlet is being ended
+            if exchange.final is None and exchange.number in core.open_exchanges and not exchange.written:
+                core.withdraw(exchange, ClientLeft())  # this greenlet is being ended
         assert exchange.final is not None
         return self._made(decision, exchange, name, exchange.final)
 
@@ -285,7 +285,7 @@
         if owed is not None:
             front.passed(owed)
         answer = self._refusal(exchange, final)
-        if not isinstance(final, Left):
+        if not isinstance(final, ClientLeft):
             decision.answer = answer
         decision.made.set()
         return answer
@@ -331,7 +331,7 @@
         elif until <= now:
             front.lapse(name, until)
         else:
-            front.timers.at(until, partial(front.lapse, name, until))
+            front.timers.schedule(until, partial(front.lapse, name, until))
         return answer
 
     def _check_by(self) -> float:
--- a/tamarindfold/ingress/front.py
+++ b/tamarindfold/ingress/front.py
@@ -68,7 +68,7 @@
         front, name = self.front, b""
         try:
             asked = front.door.admission.read(request)
-            front.core.numbers = number = front.core.numbers + 1
+            front.core.last_request_number = number = front.core.last_request_number + 1
             name = asked.name or front.prefix + b"%x" % number
             deadline = self.began_ms + asked.time_left_ms
             give_up = deadline - self.limits.answer_margin_ms
@@ -98,7 +98,7 @@
         if front.clock() > deadline:  # the check took all the time there was: nobody waits any more
             front.counts["unchecked"] += 1
             return answers.refused(503, "Credential not checked", "the time ran out", 1.0, name, self.keep)
-        if len(front.core.open) >= self.limits.open_requests:
+        if len(front.core.open_exchanges) >= self.limits.open_requests:
             front.counts["full"] += 1
             return answers.final(Refused(1000.0, Why.PRESSURE), name, self.keep)
         headers = [*asked.headers, answers.VIA]
--- a/tamarindfold/ingress/headers.py
+++ b/tamarindfold/ingress/headers.py
@@ -1,26 +1,28 @@
-"""The names of the gateway's own headers, on both sides."""
+"""Names of the gateway's own HTTP headers, towards clients, proxies and servers."""
 
-# client to gateway; unknown ones that begin so are dropped
-REQUEST = b"tamarind-request"  # the client's name for this try; made up where absent
-UNITS = b"tamarind-units"  # what the try asks for; from a server: what it really took
-RETRY = b"tamarind-retry"  # 1: the client tries again what was refused
+# Client to gateway. Unknown headers with the prefix are dropped.
+REQUEST = b"tamarind-request"  # the client's name for this try; generated if absent
+UNITS = b"tamarind-units"  # units requested by the try; in a server's response: units actually used
+RETRY = b"tamarind-retry"  # 1: a retry of a refused try
 TIME_LEFT = b"tamarind-time-left"  # milliseconds until the client gives up
 IDEMPOTENCY_KEY = b"idempotency-key"
 
-# gateway to server
-ATTEMPT, CUSTOMER = b"tamarind-attempt", b"tamarind-customer"
-PLAN, CLASS = b"tamarind-plan", b"tamarind-class"
-SERVER = b"tamarind-server"  # to a proxy: the server that was chosen
-INSTANCE = b"tamarind-instance"  # to a proxy: which instance the report goes to
-ZONE = b"tamarind-zone"  # of the client's network, where the configuration names one
+# gateway to server or proxy
+ATTEMPT = b"tamarind-attempt"
+CUSTOMER = b"tamarind-customer"
+PLAN = b"tamarind-plan"
+CLASS = b"tamarind-class"
+SERVER = b"tamarind-server"  # to a proxy: the chosen server
+INSTANCE = b"tamarind-instance"  # to a proxy: the gateway instance that the report goes to
+ZONE = b"tamarind-zone"  # of the client's network, if the configuration names one
 REFUSALS = b"tamarind-refusals"  # from a proxy: as_403 or as_is, where the fleet's proxies differ
-STATUS = b"tamarind-status"  # to a proxy that passes only 401 and 403 on: the status that was meant
+STATUS = b"tamarind-status"  # to a proxy that forwards only 401 and 403: the intended status
 
 # server to gateway
-FULL = b"tamarind-full"  # 1, with 503: turned away unexamined, nothing ran
+FULL = b"tamarind-full"  # 1, with status 503: rejected before processing, nothing ran
 LOAD = b"tamarind-load"  # name=number pairs, separated by commas
 
 # gateway to client
 OUTCOME = b"tamarind-outcome"  # served, refused, failed or rejected
 RETRY_AFTER_MS = b"tamarind-retry-after-ms"
-OWN = b"tamarind-"
+OWN_PREFIX = b"tamarind-"
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -28,7 +28,7 @@
 from tamarindfold.ingress.forward import ForwardFront
 from tamarindfold.ingress.front import Front
 from tamarindfold.ingress.pool import Pool
-from tamarindfold.ingress.servers import Servers
+from tamarindfold.ingress.backend_adapter import TamarindBackendAdapter
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.ingress.upstream import Upstream
 from tamarindfold.interface import FleetUpdate, ListKind, PlansChanged, Settings
@@ -78,7 +78,7 @@
             clock,
         )
         self.timers = Timers(clock)
-        servers = Servers(lambda: self.core.gateway.settings, log)
+        servers = TamarindBackendAdapter(lambda: self.core.gateway.settings, log)
         self.core.sender = Upstream(self.core, self.pool, self.timers, servers, clock)
         self.introspector = Introspector(
             look.url,
@@ -129,7 +129,7 @@
             self._plans_came,
             self.log,
         )
-        self.core.still_known = made.still
+        self.core.is_credential_valid = made.still
         return made
 
     def _recorder(self, config: GatewayConfig, clock: Callable[[], float]) -> Recorder:
@@ -175,13 +175,13 @@
         config = self.config
         self._count()
         if config.fleet.static:
-            self.core.fleet_news(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
+            self.core.update_fleet(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
         else:
             self.feed = FeedFollower(
                 split_address(config.fleet.feed, "fleet.feed"),
                 config.fleet.reconnect_ms,
                 self._state_file("fleet", "json"),
-                self.core.fleet_news,
+                self.core.update_fleet,
                 self.log,
                 config.upstream.source_address,
             )
@@ -223,7 +223,7 @@
     def _count(self) -> None:
         """Count at the counter that the configuration names; the one before it is let go."""
         if self.counter is not None:
-            self.core.count = None
+            self.core.send_count = None
             self.counter.retire()
             self.counter = None
         if (section := self.config.counter) is not None:
@@ -235,10 +235,10 @@
                 IncrByFloat(section.prefix),
                 section.reconnect_ms,
                 self.steady.now,
-                self.core.counted,
+                self.core.on_count_answered,
                 self.log,
             )
-            self.core.count = self.counter.call
+            self.core.send_count = self.counter.call
 
     def settle(self, config: GatewayConfig, led: bool, newcomer: bool = False) -> None:
         """Go by another configuration from now on, as far as it may differ (agreement.document.check_after).
@@ -255,10 +255,10 @@
             else tuple(next((old for old in held.plans if old == plan), plan) for plan in made.plans)
         )
         if (settings := replace(made, plans=plans)) != held or newcomer:
-            self.core.settle(settings, newcomer)
+            self.core.apply_settings(settings, newcomer)
         self.door.settle(config, led)
         if config.fleet.static != before.fleet.static:
-            self.core.fleet_news(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
+            self.core.update_fleet(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
         if config.counter != before.counter:
             self._count()
 
@@ -317,7 +317,7 @@
             self.steady.slew()
 
     def _tidy(self) -> Iterator[float | None]:
-        self.pool.tidy(self.core.fleet.__contains__)
+        self.pool.prune_idle(self.core.fleet.__contains__)
         yield None
         self.core.limits.sweep(self.steady.now())
 
@@ -327,7 +327,7 @@
             due = self.steady.now() + FEEL_MS
             gevent.sleep(FEEL_MS / 1000)
             self.turned_at = time.monotonic()
-            self.core.turned()
+            self.core.on_loop_turn()
             if self.forward is not None:
                 self.forward.gate.felt(self.steady.now() - due)
 
--- a/tamarindfold/ingress/upstream.py
+++ b/tamarindfold/ingress/upstream.py
@@ -1,7 +1,8 @@
-"""Attempts: connect, look once more, write, read, and tell truthfully how it went.
+"""Runs attempts: connects to a server, checks once more that the request may be sent, writes it, reads the
+response and reports the outcome.
 
-An attempt runs in the greenlet of its request, which would else only wait for it. How requests are worded
-and what answers mean is the peers' (Peers).
+An attempt runs in the greenlet of its request, which would otherwise only wait. How requests are encoded and
+responses are interpreted is up to a `BackendAdapter`.
 """
 
 from __future__ import annotations
@@ -13,230 +14,247 @@
 
 from gevent import socket
 
-from tamarindfold.http1.responses import HEAD_BYTES, BadResponse, ResponseReader
+from tamarindfold.http1.responses import MAX_HEAD_BYTES, BadResponse, ResponseReader
 from tamarindfold.ingress.arrival import receive
 from tamarindfold.ingress.core import Core
 from tamarindfold.ingress.exchange import Exchange, Served
-from tamarindfold.ingress.pool import Connection, NoRoom, Pool
+from tamarindfold.ingress.pool import Connection, ConnectionLimitReached, Pool
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.interface import BackendEntry, Effect, Outcome
 
 
-class Peers(Protocol):
-    """What is spoken with the servers: no I/O."""
+class BackendAdapter(Protocol):
+    """Encodes requests for the servers and interprets their responses. No I/O."""
 
-    whole: bool  # an attempt may have run only if its last byte was written; else from the first on
+    # True: an attempt can have run only if all of it was written; False: from its first byte on.
+    needs_complete_request: bool
 
     def address(self, backend: int) -> tuple[str, int] | None:
-        """Where a server is reached; None where it is not known any more."""
+        """The address of a server; None if it is no longer known."""
 
-    def place(self, backend: int) -> object:
-        """What tells the process that is reached under this number from any other."""
+    def process_identity(self, backend: int) -> object:
+        """A value that distinguishes the process now behind this server number from any other one."""
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
-        """The bytes of an attempt."""
+        """The request bytes of an attempt."""
 
     def outcome(self, reader: ResponseReader) -> Outcome:
-        """What a whole answer means."""
+        """The outcome that a complete response stands for."""
 
     def units(self, reader: ResponseReader) -> float:
-        """What the request really took; 0 where the answer does not say."""
+        """The units that the request actually used; 0 if the response does not say."""
 
     def report(self, reader: ResponseReader) -> tuple[float, ...]:
-        """The load report's values in the order of the settings; none where there is no good one."""
+        """The values of the load report in the order of the settings; empty without a valid report."""
 
 
 class Attempt:
-    """One Send of the module."""
+    """One attempt, as started by a Send action of the decision module."""
 
     __slots__ = (
+        "aborted_as",
         "backend",
-        "came_ms",
+        "bytes_held",
         "connection",
-        "cut",
+        "deadline_ms",
         "entry",
         "exchange",
-        "held",
         "number",
-        "until",
-        "wrote",
+        "received_ms",
+        "sent",
     )
 
     def __init__(
-        self, exchange: Exchange, number: int, entry: BackendEntry | None, backend: int, until: float
+        self, exchange: Exchange, number: int, entry: BackendEntry | None, backend: int, deadline_ms: float
     ) -> None:
         self.exchange, self.number, self.entry, self.backend = exchange, number, entry, backend
-        self.until = until
+        self.deadline_ms = deadline_ms
         self.connection: Connection | None = None
-        self.wrote, self.held = False, 0  # held: bytes of its answer
-        self.came_ms = 0.0  # when the last bytes of its answer came
-        self.cut: Outcome | None = None  # ended from here: its time is up, or the module called it off
-
-    def end(self, how: Outcome) -> None:
-        """Wake the attempt out of its wait; the connection is of no more use."""
-        if self.cut is None:
-            self.cut = how
+        self.sent = False  # whether the request may have run
+        self.bytes_held = 0  # of the response
+        self.received_ms = 0.0  # when the last bytes of the response arrived
+        self.aborted_as: Outcome | None = None  # TIMEOUT or CANCELLED once the gateway has ended the attempt
+
+    def abort(self, outcome: Outcome) -> None:
+        """Interrupt the attempt by shutting down its connection, which can't be used again."""
+        if self.aborted_as is None:
+            self.aborted_as = outcome
             if self.connection is not None:
-                with suppress(OSError):  # the other side was faster
+                with suppress(OSError):  # already closed by the peer
                     self.connection.sock.shutdown(socket.SHUT_RDWR)
 
-    def time_is_up(self) -> None:
-        """Called when `until` has come."""
-        self.end(Outcome.TIMEOUT)
+    def on_timeout(self) -> None:
+        """Called by the timer at `deadline_ms`."""
+        self.abort(Outcome.TIMEOUT)
 
 
 class Upstream:
-    """Carries out Send and Cancel."""
+    """Executes Send and Cancel actions."""
 
     def __init__(
         self,
         core: Core,
         pool: Pool,
         timers: Timers,
-        peers: Peers,
+        backends: BackendAdapter,
         clock: Callable[[], float],
-        trust_ms: float = math.inf,
-        most_held: float = math.inf,
+        reuse_after_ms: float = math.inf,
+        max_held_bytes: float = math.inf,
     ) -> None:
-        """trust_ms: what must not run twice goes on a kept connection if none broke for so long; most_held:
-        bytes of all answers that are being read."""
-        self.trust_ms, self.most_held = trust_ms, most_held
-        self.held = self.peak = 0  # bytes of answers in hand, and the most there were
-        self.core, self.pool, self.timers, self.peers, self.clock = core, pool, timers, peers, clock
+        """reuse_after_ms: unsafe requests use kept connections if none was found broken for this long.
+
+        max_held_bytes: bound on the total of all responses that are being read.
+        """
+        self.reuse_after_ms, self.max_held_bytes = reuse_after_ms, max_held_bytes
+        self.held_bytes = self.peak_held_bytes = 0  # of all responses that are being read
+        self.core, self.pool, self.timers, self.backends, self.clock = core, pool, timers, backends, clock
         self.running: dict[tuple[int, int], Attempt] = {}
-        self.counts = {how.name.lower(): 0 for how in Outcome} | {"no_room": 0}
+        self.counts = {outcome.name.lower(): 0 for outcome in Outcome} | {"no_room": 0}
 
     def start(
         self, exchange: Exchange, number: int, entry: BackendEntry | None, backend: int, timeout_ms: float
     ) -> None:
-        """Hand an attempt to its request's greenlet; its outcome comes by Core.attempt_ended."""
-        until = min(exchange.give_up_ms, self.clock() + timeout_ms if timeout_ms > 0 else math.inf)
-        attempt = Attempt(exchange, number, entry, backend, until)
+        """Queue an attempt for its request's greenlet; the outcome is reported by `Core.attempt_ended`."""
+        deadline_ms = min(exchange.give_up_ms, self.clock() + timeout_ms if timeout_ms > 0 else math.inf)
+        attempt = Attempt(exchange, number, entry, backend, deadline_ms)
         self.running[exchange.number, number] = attempt
-        exchange.work(attempt)
+        exchange.add_attempt(attempt)
 
     def cancel(self, request: int, number: int) -> None:
-        """Stop waiting; the connection is closed, since its answer will never be read."""
+        """Abort an attempt; its connection is closed, since the response will not be read."""
         if (attempt := self.running.get((request, number))) is not None:
-            attempt.end(Outcome.CANCELLED)
+            attempt.abort(Outcome.CANCELLED)
 
     def forget(self, attempt: Attempt) -> None:
-        """An attempt that somebody else carried out has ended."""
+        """Remove an attempt that was not run here, such as one that a proxy carried out."""
         self.running.pop((attempt.exchange.number, attempt.number), None)
 
     def run(self, attempt: Attempt) -> None:
-        """Carry out an attempt; comes back when its outcome has been told."""
+        """Run an attempt; returns after its outcome has been reported."""
         started = self.clock()
         exchange = attempt.exchange
-        timer = self.timers.at(attempt.until, attempt.time_is_up)
+        timer = self.timers.schedule(attempt.deadline_ms, attempt.on_timeout)
         try:
             outcome = self._outcome(attempt)
         except (OSError, BadResponse):
-            outcome = Outcome.RESET if attempt.wrote else Outcome.CONNECT_FAILED
+            outcome = Outcome.RESET if attempt.sent else Outcome.CONNECT_FAILED
         finally:
-            self.timers.off(timer)
+            self.timers.cancel(timer)
             del self.running[exchange.number, attempt.number]
-            self.held -= attempt.held
+            self.held_bytes -= attempt.bytes_held
         served, units = None, 0.0
         report: tuple[float, ...] = ()
         connection = attempt.connection
         if connection is None or not connection.reader.complete:
-            if attempt.cut is not None:
-                outcome = self._cut_short(attempt, outcome)
+            if attempt.aborted_as is not None:
+                outcome = self._aborted_outcome(attempt, outcome)
             if connection is not None:
                 if connection.used and outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
-                    self.pool.broke_at = self.clock()
+                    self.pool.last_broken_ms = self.clock()
                 self.pool.close(connection)
         else:
             reader = connection.reader
             if outcome is Outcome.OK:
                 served = Served(reader.status, reader.headers, reader.body)
-                units = self.peers.units(reader)
-            report = self.peers.report(reader)
-            # cut: shut down from here, whatever still came; elsewhere: the list changed while it was in use
-            if attempt.cut is not None or connection.place != self.peers.place(attempt.backend):
+                units = self.backends.units(reader)
+            report = self.backends.report(reader)
+            # An aborted attempt has shut its connection down, even if the response was complete.
+            # The server may also have been replaced during the attempt.
+            if (
+                attempt.aborted_as is not None
+                or connection.process_identity != self.backends.process_identity(attempt.backend)
+            ):
                 self.pool.close(connection)
             else:
-                self.pool.give_back(connection)
+                self.pool.release(connection)
         self.counts[outcome.name.lower()] += 1
         ended = self.clock()
-        if attempt.cut is None and attempt.came_ms:  # this process may have read it late
-            ended = max(started, min(ended, attempt.came_ms))
+        if attempt.aborted_as is None and attempt.received_ms:  # this process may have read the response late
+            ended = max(started, min(ended, attempt.received_ms))
         self.core.attempt_ended(
             exchange, attempt.number, attempt.backend, outcome, ended - started, served, units, report
         )
 
     @staticmethod
-    def _cut_short(attempt: Attempt, outcome: Outcome) -> Outcome:
-        """What an attempt ended from here comes to: one that was not written never ran."""
-        if attempt.wrote:
-            assert attempt.cut is not None
-            return attempt.cut
-        return Outcome.MOOT if attempt.cut is Outcome.CANCELLED else outcome
+    def _aborted_outcome(attempt: Attempt, outcome: Outcome) -> Outcome:
+        """The outcome of an aborted attempt; one that was not sent can't have run."""
+        if attempt.sent:
+            assert attempt.aborted_as is not None
+            return attempt.aborted_as
+        return Outcome.MOOT if attempt.aborted_as is Outcome.CANCELLED else outcome
 
     def _outcome(self, attempt: Attempt) -> Outcome:
-        exchange, hindrance = attempt.exchange, self.core.hindrance
-        if attempt.cut is not None or hindrance(exchange, attempt.entry):
+        exchange, reason_not_to_send = attempt.exchange, self.core.reason_not_to_send
+        if attempt.aborted_as is not None or reason_not_to_send(exchange, attempt.entry):
             return Outcome.MOOT
         try:
             attempt.connection = connection = self._connection(attempt)
-        except NoRoom:  # this gateway's own bound says nothing of the server
+        except ConnectionLimitReached:  # a limit of this gateway; not the server's failure
             return Outcome.MOOT
-        if attempt.cut is not None:
+        if attempt.aborted_as is not None:
             return Outcome.CONNECT_FAILED
-        if not connection.used and (  # connecting took its time
-            hindrance(exchange, attempt.entry) or connection.place != self.peers.place(attempt.backend)
+        if not connection.used and (  # connecting took time: check again
+            reason_not_to_send(exchange, attempt.entry)
+            or connection.process_identity != self.backends.process_identity(attempt.backend)
         ):
-            connection.reader.complete = connection.reader.reusable = True  # nothing was asked on it
+            connection.reader.complete = connection.reader.reusable = True  # nothing was sent on it: keep it
             return Outcome.MOOT
         if not self._write(attempt, connection):
             return Outcome.CONNECT_FAILED
         sock, reader = connection.sock, connection.reader
         while not reader.complete:
-            data, attempt.came_ms = receive(sock, 65536, self.clock)
+            data, attempt.received_ms = receive(sock, 65536, self.clock)
             if data:
-                self._hold(attempt, len(data))
+                self._account(attempt, len(data))
                 reader.feed(data)
-            elif attempt.cut is not None or not reader.end():
+            elif attempt.aborted_as is not None or not reader.end():
                 return Outcome.RESET
-        return self.peers.outcome(reader)
-
-    def _hold(self, attempt: Attempt, size: int) -> None:
-        """Guards the memory against endless answers and many large ones: what goes too far is dropped."""
-        attempt.held += size
-        self.held += size
-        self.peak = max(self.peak, self.held)
-        if self.held > self.most_held or attempt.held > self.pool.answer_bytes + HEAD_BYTES:
+        return self.backends.outcome(reader)
+
+    def _account(self, attempt: Attempt, size: int) -> None:
+        """Count received bytes; BadResponse if one response or the sum of all exceeds its memory bound."""
+        attempt.bytes_held += size
+        self.held_bytes += size
+        self.peak_held_bytes = max(self.peak_held_bytes, self.held_bytes)
+        if (
+            self.held_bytes > self.max_held_bytes
+            or attempt.bytes_held > self.pool.answer_bytes + MAX_HEAD_BYTES
+        ):
             self.counts["no_room"] += 1
-            raise BadResponse("the answers in hand are over the bound")
+            raise BadResponse("responses exceed the memory bound")
 
     def _connection(self, attempt: Attempt) -> Connection:
-        """An idle connection, but a new one for what must not run twice, unless kept ones prove good.
+        """A connection to the attempt's server: an idle one if possible, else a new one.
 
-        A server may close an idle connection in the very moment it is used again; whether it had read the
-        request by then nobody can tell. A new connection has no such moment, but costs both sides work.
+        Unsafe requests use idle connections only after `reuse_after_ms` without a broken one. A server may
+        close an idle connection just as it is used again, and then nobody can tell whether it had read the
+        request. New connections do not have this race, but cost both sides work.
         """
         backend = attempt.backend
         unsafe = self.core.gateway.settings.classes[attempt.exchange.cls].effect is Effect.UNSAFE
-        if not unsafe or self.clock() - self.pool.broke_at >= self.trust_ms:
-            idle = self.pool.take(backend)
+        if not unsafe or self.clock() - self.pool.last_broken_ms >= self.reuse_after_ms:
+            idle = self.pool.acquire_idle(backend)
             if idle is not None:
                 return idle
-        address = self.peers.address(backend)
+        address = self.backends.address(backend)
         if address is None:
-            raise ConnectionRefusedError("the server is gone")
-        place = self.peers.place(backend)  # while it connects the list may change
-        made = self.pool.connect(backend, address, (attempt.until - self.clock()) / 1000)
-        made.place = place
-        return made
+            raise ConnectionRefusedError("the server is no longer listed")
+        process_identity = self.backends.process_identity(backend)  # may change while connecting
+        connection = self.pool.connect(backend, address, (attempt.deadline_ms - self.clock()) / 1000)
+        connection.process_identity = process_identity
+        return connection
 
     def _write(self, attempt: Attempt, connection: Connection) -> bool:
-        """Write the request; False where it can't have run: where not a byte of it, or not all of it, was
-        taken. Where the first byte counts, what the server may have answered before it closed is read."""
-        exchange, whole = attempt.exchange, self.peers.whole
+        """Write the request; False if it can't have run.
+
+        That is the case if no byte was sent or, where the server needs the complete request, not all of it.
+        Otherwise a connection that breaks during the write is still read: the server may have answered
+        before it closed.
+        """
+        exchange, needs_complete_request = attempt.exchange, self.backends.needs_complete_request
         connection.reader.begin(exchange.method == "HEAD")
-        data = self.peers.request(
-            exchange, attempt.number, attempt.backend, max(0.0, attempt.until - self.clock())
+        data = self.backends.request(
+            exchange, attempt.number, attempt.backend, max(0.0, attempt.deadline_ms - self.clock())
         )
         sock = connection.sock
         try:
@@ -245,15 +263,15 @@
             return False
         if sent < len(data):
             rest = memoryview(data)
-            if not whole:
-                attempt.wrote = True
+            if not needs_complete_request:
+                attempt.sent = True
             try:
                 while sent < len(data):
                     sent += sock.send(rest[sent:])
             except OSError:
-                if whole:
+                if needs_complete_request:
                     return False
-                # RFC 9112 section 9.5: read what there is
-        attempt.wrote = True
+                # RFC 9112 section 9.5: read the response that may have been sent
+        attempt.sent = True
         exchange.written += 1
         return True
--- a/tamarindfold/keeper/server.py
+++ b/tamarindfold/keeper/server.py
@@ -38,7 +38,7 @@
 from tamarindfold.config.load import load
 from tamarindfold.ds.backoff import Backoff
 from tamarindfold.http1 import write
-from tamarindfold.http1.ask import ask
+from tamarindfold.http1.client import send_request
 from tamarindfold.http1.requests import Request, RequestReader
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.http1.serve import serve
@@ -113,7 +113,7 @@
             said = tuple(map(self._with_news, self.queue))
             self.queue.clear()
             body = wire.pack(wire.Batch(self.keeper.core.me, said), self.keeper.key, "keeper")
-            status, _ = ask(sock, reader, "POST", "/v1/keeper", host, body)
+            status, _ = send_request(sock, reader, "POST", "/v1/keeper", host, body)
             if status != 204:
                 raise ValueError(f"keeper {self.number} answered {status}")
             self.link.backoff.well()
--- a/tamarindfold/limits/__init__.py
+++ b/tamarindfold/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits beside the module's quotas, shared by both fronts (docs/forward-auth.md)."""
+"""Limits that do not depend on the decision module's quotas, shared by both fronts."""
--- a/tamarindfold/node/front.py
+++ b/tamarindfold/node/front.py
@@ -125,10 +125,10 @@
         if asked.name in front.open_names:
             raise Rejected(409, "x-call-id: of a request that is open")
         front.silent.pop(self, None)
-        if len(front.core.open) >= limits.open_requests:
+        if len(front.core.open_exchanges) >= limits.open_requests:
             front.counts["full"] += 1
             return front.words.final(Refused(FULL_MS, Why.PRESSURE), asked.name, self.keep)
-        front.core.numbers = number = front.core.numbers + 1
+        front.core.last_request_number = number = front.core.last_request_number + 1
         deadline = self.came_ms + asked.time_left_ms
         return Exchange(
             number,
@@ -145,7 +145,7 @@
             request.target,
             [],
             request.body,
-            first=asked.first,
+            first_gateway=asked.first,
         )
 
     def _decided(self, exchange: Exchange) -> bytes:
--- a/tamarindfold/node/ingress.py
+++ b/tamarindfold/node/ingress.py
@@ -11,7 +11,7 @@
 
 from tamarindfold.choice import Gateway
 from tamarindfold.counter.driver import Counter
-from tamarindfold.ingress.arrival import stamp
+from tamarindfold.ingress.arrival import enable_arrival_timestamps
 from tamarindfold.ingress.clock import SteadyClock
 from tamarindfold.ingress.core import Core
 from tamarindfold.ingress.pool import Pool
@@ -92,11 +92,11 @@
                 AddGet(),
                 limits.counter_reconnect_ms,
                 self.steady.now,
-                self.core.counted,
+                self.core.on_count_answered,
                 self.log,
                 limits.counter_keep_ms,
             )
-            self.core.count = self.counter.call
+            self.core.send_count = self.counter.call
         # Guards against sends by a list from before a restart: clients come as soon as this listens.
         self.watch.follower.first(limits.first_list_ms, self.log, stop, generation=self.book.generation)
         if stop is not None and stop.is_set():
@@ -106,7 +106,7 @@
         )
         self.listener.max_accept = limits.ending  # few: room is made before more descriptors are taken
         self.listener.init_socket()
-        stamp(self.listener.socket)
+        enable_arrival_timestamps(self.listener.socket)
         self.listener.start()
         self.chores = [gevent.spawn(self._beat), gevent.spawn(self._tell_counts)]
         self.log("node.listening", clients=limits.connections, backends=limits.backend_connections)
@@ -144,18 +144,18 @@
         """A line of the list, for the module; connections to what moved or restarted are of no use."""
         update, moved = self.book.take(line, kind)
         for number in moved:
-            self.pool.drop(number)
-        self.core.fleet_news(update)
+            self.pool.drop_idle(number)
+        self.core.update_fleet(update)
 
     def _beat(self) -> None:
         """Notes that the loop turns; tidies now and then."""
         beats = 0
         while True:
             gevent.sleep(FEEL_S)
-            self.core.turned()
+            self.core.on_loop_turn()
             beats += 1
             if not beats % TIDY_EVERY:
-                self.pool.tidy(self.core.fleet.__contains__)
+                self.pool.prune_idle(self.core.fleet.__contains__)
             if not beats % SLEW_EVERY:
                 self.steady.slew()
 
@@ -186,11 +186,11 @@
                 "idle": len(front.idle),
                 "silent": len(front.silent),
                 "held": front.held,
-                "open": len(self.core.open),
+                "open": len(self.core.open_exchanges),
                 "withdrawn": len(self.core.withdrawn),
                 "backends": len(self.core.fleet),
-                "to_backends": self.pool.held,
-                "answers_peak": self.upstream.peak,
+                "to_backends": self.pool.total_open,
+                "answers_peak": self.upstream.peak_held_bytes,
                 "book": len(self.book.entries),
                 "customers": len(gateway.customers),
                 "calls": len(gateway.calls),
--- a/tamarindfold/node/wording.py
+++ b/tamarindfold/node/wording.py
@@ -36,7 +36,7 @@
 class Backends:
     """Words attempts and reads answers; an attempt counts once its last byte was written."""
 
-    whole = True
+    needs_complete_request = True
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         place: Callable[[int], object],
         fields: tuple[str, ...],
     ) -> None:
-        self.address, self.place, self.fields = address, place, fields
+        self.address, self.process_identity, self.fields = address, place, fields
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
         return backends.attempt(exchange.method, exchange.target, exchange.name, exchange.body, left_ms)
--- a/tamarindfold/platform/backends.py
+++ b/tamarindfold/platform/backends.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tamarindfold.http1 import write
-from tamarindfold.http1.figures import figures
+from tamarindfold.http1.number_pairs import parse_number_pairs
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.interface import Outcome
 from tamarindfold.platform import names
@@ -25,4 +25,4 @@
 
 def report(reader: ResponseReader, fields: tuple[str, ...]) -> tuple[float, ...]:
     """The load report in the settings' order; none where it can't be read."""
-    return figures(reader.get(names.LOAD_REPORT), fields) if fields else ()
+    return parse_number_pairs(reader.get(names.LOAD_REPORT), fields) if fields else ()
--- a/tamarindfold/rehearsal/load.py
+++ b/tamarindfold/rehearsal/load.py
@@ -197,7 +197,7 @@
         connection = None
         try:
             try:
-                connection = self.pool.take(backend) if facts.effect != "unsafe" else None
+                connection = self.pool.acquire_idle(backend) if facts.effect != "unsafe" else None
                 connection = connection or self.pool.connect(backend, address, 0.5)
             except OSError:
                 self.ledger.note(self.clock(), "unreached", **{"try": name}, gateway=gateway)
@@ -225,7 +225,7 @@
         finally:
             if connection is not None:
                 if connection.reader.complete:
-                    self.pool.give_back(connection)
+                    self.pool.release(connection)
                 else:
                     self.pool.close(connection)
 
--- a/tamarindfold/rehearsal/marks.py
+++ b/tamarindfold/rehearsal/marks.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent import socket
 
-from tamarindfold.http1.ask import ask
+from tamarindfold.http1.client import send_request
 from tamarindfold.http1.responses import BadResponse, ResponseReader
 from tamarindfold.standins.ledger import Entry, Ledger
 
@@ -65,7 +65,7 @@
                 newest = self.newest()
                 for mark in range(max(1, newest - NEWEST + 1), newest + 1):
                     start = self.clock()
-                    status, _ = ask(sock, reader, "GET", f"/mark/{mark}", address)
+                    status, _ = send_request(sock, reader, "GET", f"/mark/{mark}", address)
                     self.ledger.note(self.clock(), "mark", index=i, mark=mark, start=start, status=status)
                 gevent.sleep(self.every_s)
 
--- a/tamarindfold/rehearsal/processes.py
+++ b/tamarindfold/rehearsal/processes.py
@@ -12,7 +12,7 @@
 import msgspec
 from gevent import socket, subprocess
 
-from tamarindfold.http1.ask import ask
+from tamarindfold.http1.client import send_request
 from tamarindfold.http1.responses import ResponseReader
 
 READY_S = 30.0
@@ -109,7 +109,7 @@
         host, _, port = self.admin.rpartition(":")
         data = msgspec.json.encode(body) if body is not None else b""
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            status, told = ask(
+            status, told = send_request(
                 sock, ResponseReader(1 << 20), method, path, self.admin, data, [(b"connection", b"close")]
             )
         answer = msgspec.json.decode(told)
--- a/tamarindfold/standins/proxy.py
+++ b/tamarindfold/standins/proxy.py
@@ -218,7 +218,7 @@
         if said is None:
             return Answer(503, [], b"no authorization service is there")
         if 200 <= said.status < 300:
-            own = [pair for pair in said.headers if pair[0].startswith(names.OWN)]
+            own = [pair for pair in said.headers if pair[0].startswith(names.OWN_PREFIX)]
             permit = Permitted(gateway, own, "")
             permit.server = permit.get(names.SERVER).decode()
             self.ledger.note(
@@ -266,7 +266,7 @@
             pair
             for pair in request.headers
             if pair[0] not in write.HOP_BY_HOP
-            and not pair[0].startswith(names.OWN)
+            and not pair[0].startswith(names.OWN_PREFIX)
             and pair[0] not in (b"host", b"authorization")
         ]
         kept += [pair for pair in own if pair[0] not in (names.OUTCOME, names.SERVER)]
@@ -286,7 +286,7 @@
         answer.headers = [
             pair
             for pair in answer.headers
-            if pair[0] not in write.HOP_BY_HOP and not pair[0].startswith(names.OWN)
+            if pair[0] not in write.HOP_BY_HOP and not pair[0].startswith(names.OWN_PREFIX)
         ] + [(names.OUTCOME, outcome)]
         return answer, self.clock() - began, True
 
@@ -333,7 +333,9 @@
     def _connection(self, address: str, may_reuse: bool) -> Connection:
         target = split_address(address, "address")
         backend = backend_id(*target)
-        return (self.pool.take(backend) if may_reuse else None) or self.pool.connect(backend, target, 0.5)
+        return (self.pool.acquire_idle(backend) if may_reuse else None) or self.pool.connect(
+            backend, target, 0.5
+        )
 
     def _exchange(self, address: str, data: bytes, patience_ms: float) -> Answer:
         """One request and its answer on a kept connection; OSError where none came in time."""
@@ -354,7 +356,7 @@
             reader.read(receive)
         finally:
             if reader.complete:
-                self.pool.give_back(connection)
+                self.pool.release(connection)
             else:
                 self.pool.close(connection)
         return Answer(reader.status, reader.headers, reader.body)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,28 +10,29 @@
 
 @pytest.fixture
 def rig() -> Iterator[Any]:
-    """Starts rigs; stops them all at the end."""
+    """A factory of started rigs, which are stopped when the test ends."""
     rigs: list[Rig] = []
 
-    def make(*args: Any, **changes: Any) -> Rig:
-        rigs.append(start(*args, **changes))
+    def make(*args: Any, **options: Any) -> Rig:
+        rigs.append(start(*args, **options))
         return rigs[-1]
 
     yield make
-    for made in rigs:
-        made.stop()
+    for one in rigs:
+        one.stop()
 
 
 @pytest.fixture
 def world() -> Iterator[Any]:
-    made: list[World] = []
+    """A factory of platform ingresses with their surroundings, which are stopped when the test ends."""
+    worlds: list[World] = []
 
-    def make(*args: Any, start: bool = True, **changes: Any) -> World:
-        made.append(World(*args, **changes))
+    def make(*args: Any, start: bool = True, **options: Any) -> World:
+        worlds.append(World(*args, **options))
         if start:
-            made[-1].run()
-        return made[-1]
+            worlds[-1].run()
+        return worlds[-1]
 
     yield make
-    for one in made:
+    for one in worlds:
         one.stop()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""One gateway and its stand-ins in this process, over loopback sockets, and a client that sees every byte."""
+"""A gateway with stand-in services in one process over loopback sockets, and a raw HTTP test client."""
 
 from __future__ import annotations
 
@@ -46,6 +46,8 @@
 
 @dataclass
 class Answer:
+    """A response as the client received it."""
+
     status: int
     headers: dict[str, str]
     body: bytes
@@ -56,11 +58,14 @@
 
     @property
     def problem(self) -> dict[str, Any]:
+        """The decoded problem document (RFC 9457) of a response that was not served."""
         return msgspec.json.decode(self.body)
 
 
 @dataclass
 class Rig:
+    """A started gateway, the stand-ins it talks to, and its log lines."""
+
     servers: list[TariffServer]
     tokens: TokenServer
     counter: CounterServer | None
@@ -94,6 +99,7 @@
         return read_answer(sock, method == "HEAD")
 
     def entries(self, what: str) -> list[dict[str, Any]]:
+        """The servers' ledger entries of one kind (received, ran), in order of time."""
         return sorted((e for s in self.servers for e in s.ledger.of(what)), key=lambda e: e["t"])
 
     def stop(self) -> None:
@@ -133,7 +139,12 @@
     delay_ms: float = 0.0,
     **sections: Any,
 ) -> Rig:
-    """Sections override the gateway's configuration."""
+    """Start a gateway and its stand-ins.
+
+    counter: run a counter service too. tokens: more entries for the token service. make: builds the decision
+    module. server: options of all servers. faults: by server index. delay_ms: of the server list.
+    sections: override sections of the gateway's configuration.
+    """
     tariffs = [
         TariffServer(
             TariffConfig(
@@ -149,41 +160,44 @@
         tariff.start()
     token_server = TokenServer(TokensConfig(tokens=TOKENS | (tokens or {}), delay_ms=0))
     token_server.start()
-    counting = None
+    counter_server = None
     if counter:
-        counting = CounterServer(CounterStandinConfig())
-        counting.start()
+        counter_server = CounterServer(CounterStandinConfig())
+        counter_server.start()
     lines = [ServerLine(t.address, "ready", 0, i % 2, 0, 1.0, 0.0) for i, t in enumerate(tariffs)]
     fleet = FleetServer(FleetConfig(delay_ms=delay_ms, servers=lines))
     fleet.start()
-    look = {"url": token_server.url, "client_id": "gateway", "client_secret": "gateway-secret"}
+    introspection = {"url": token_server.url, "client_id": "gateway", "client_secret": "gateway-secret"}
     data: dict[str, Any] = {
         "classes": CLASSES,
         "routes": ROUTES,
         "plans": PLANS,
         "fleet": {"feed": fleet.address},
     }
-    if counting is not None:
-        data["counter"] = {"parts": [counting.address], "timeout_ms": 200}
+    if counter_server is not None:
+        data["counter"] = {"parts": [counter_server.address], "timeout_ms": 200}
     for name, section in sections.items():
         data[name] = data.get(name, {}) | section if isinstance(section, dict) else section
-    data["introspection"] = look | data.get("introspection", {})
+    data["introspection"] = introspection | data.get("introspection", {})
     config = convert(data, GatewayConfig, "test")
     derive.check(config)
     logged: list[tuple[str, dict[str, Any]]] = []
     ingress = Ingress(config, lambda event, **fields: logged.append((event, fields)), make)
-    rig = Rig(tariffs, token_server, counting, fleet, ingress, logged)
+    rig = Rig(tariffs, token_server, counter_server, fleet, ingress, logged)
     rig.address = ingress.start()
     wait_for(lambda: len(ingress.core.fleet) == servers)
-    if counting is not None:
+    if counter_server is not None:
         wait_for(lambda: all(p.pipeline.connected for p in ingress.counter.parts))
     return rig
 
 
 def wait_for(condition: Callable[[], Any], seconds: float = 10.0) -> None:
-    """Wait until it holds; how long that takes decides nothing but when a hopeless wait ends."""
+    """Wait until condition() is true; AssertionError after `seconds`.
+
+    The time limit only ends waits that can't succeed any more; it doesn't influence what a test checks.
+    """
     import gevent
 
-    with gevent.Timeout(seconds, AssertionError("waited in vain")):
+    with gevent.Timeout(seconds, AssertionError(f"condition not met within {seconds} s")):
         while not condition():
             gevent.sleep(0.002)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,7 +26,7 @@
 from tamarindfold.counter.driver import Counter
 from tamarindfold.http1 import write
 from tamarindfold.ingress.core import Core
-from tamarindfold.ingress.exchange import Exchange, Left
+from tamarindfold.ingress.exchange import Exchange, ClientLeft
 from tamarindfold.interface import Count, CountAnswered, Outcome
 from tamarindfold.node import discovery as discovery_driver
 from tamarindfold.node.limits import budget
@@ -98,7 +98,7 @@
     assert not w.came()
     counts = w.node.core.counts
     assert (counts["left_unsent"], counts["left_sent"], counts["left"]) == (1, 0, 1)
-    assert not w.node.core.open and not w.node.core.withdrawn and not w.node.front.open_names
+    assert not w.node.core.open_exchanges and not w.node.core.withdrawn and not w.node.front.open_names
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -136,7 +136,7 @@
     if ahead:
         wait_for(lambda: w.node.front.counts["ahead"])
     sock.close()
-    wait_for(lambda: w.node.upstream.counts["cancelled"] == 1 and not w.node.pool.held)
+    wait_for(lambda: w.node.upstream.counts["cancelled"] == 1 and not w.node.pool.total_open)
 
 
 def test_a_loop_that_calls_for_nothing_leaves_the_watch_on(world) -> None:
@@ -419,8 +419,8 @@
     assert w.ask().status == (503 if when == "connecting" and "hostPort" in changed else 200)
     assert len(w.came()) <= 1  # a try to connect that came to nothing is made anew, to the right place
     kept = [c for idle in w.node.pool.idle.values() for c in idle]
-    assert [c.place for c in kept] == [w.node.book.entries[c.backend] for c in kept]
-    assert w.node.pool.held == len(kept) == (when == "connecting" and "hostPort" not in changed)
+    assert [c.process_identity for c in kept] == [w.node.book.entries[c.backend] for c in kept]
+    assert w.node.pool.total_open == len(kept) == (when == "connecting" and "hostPort" not in changed)
 
 
 def test_a_connection_cut_from_here_is_not_kept_though_its_answer_came_whole(world, monkeypatch) -> None:
@@ -429,7 +429,7 @@
 
     def cut() -> None:
         for attempt in list(running.values()):
-            attempt.time_is_up()
+            attempt.on_timeout()
 
     from tamarindfold.http1.responses import ResponseReader
 
@@ -456,7 +456,7 @@
         text = HINTS + answer + {"nothing": b"", "a copy": answer, "noise": b"x"}[extra]
         cut, sent[0] = at_byte[0], len(text)
         sock.sendall(text[:cut])
-        wait_for(lambda: w.node.upstream.held == cut or not w.node.core.open)
+        wait_for(lambda: w.node.upstream.held_bytes == cut or not w.node.core.open_exchanges)
         with suppress(OSError):  # the answer was whole without it
             sock.sendall(text[cut:])
         ended[0] += 1
@@ -495,21 +495,23 @@
         Exchange(n, b"%d" % n, 0, 9, 0, 1.0, 2, False, START + 4000, START + 3980, "GET", b"/", [], b"")
         for n in range(2)
     ]
-    core.arrive(exchange[1])  # one that is out: its attempt ends while events wait, and it may be tried again
+    core.submit(exchange[1])  # one that is out: its attempt ends while events wait, and it may be tried again
     (backend,) = [n for n, b in core.gateway.backends.items() if b.out]
-    core.awake.clear()
+    core.resumed.clear()
     acts = {
-        "arrive": lambda: core.arrive(exchange[0]),
-        "withdraw": lambda: [core.withdraw(one, Left()) for one in exchange if one.number in core.open],
+        "arrive": lambda: core.submit(exchange[0]),
+        "withdraw": lambda: [
+            core.withdraw(one, ClientLeft()) for one in exchange if one.number in core.open_exchanges
+        ],
         "answer": lambda: core.attempt_ended(exchange[1], 0, backend, Outcome.RESET, 5.0),
     }
     for act in order:
         acts[act]()
-    core.awake.set()
-    core._pump()
+    core.resumed.set()
+    core._process_events()
     for one in exchange:
-        if one.number in core.open:
-            core.withdraw(one, Left())
+        if one.number in core.open_exchanges:
+            core.withdraw(one, ClientLeft())
     outs = sum(len(b.out) for b in core.gateway.backends.values())
     carried = sum(sender.started.count(n) for n in (0, 1)) - 1  # the first one's end was told
     assert outs == carried and not core.withdrawn
@@ -519,12 +521,12 @@
 def test_one_withdrawn_before_the_module_heard_of_it_uses_nothing() -> None:
     core = Core(gateway(1, 2), lambda: START, lambda *a, **k: None)
     core.sender = sender = NoAttempts()
-    core.awake.clear()
+    core.resumed.clear()
     exchange = Exchange(5, b"5", 0, 9, 0, 1.0, 2, False, START + 4000, START + 3980, "GET", b"/", [], b"")
-    core.arrive(exchange)
-    core.withdraw(exchange, Left())
-    core.awake.set()
-    core._pump()
+    core.submit(exchange)
+    core.withdraw(exchange, ClientLeft())
+    core.resumed.set()
+    core._process_events()
     assert sender.started == [] and not core.gateway.customers and not core.gateway.calls
 
 
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -17,7 +17,7 @@
 from tamarindfold.forward.reports import Report, read
 from tamarindfold.http1.requests import Rejected, Request
 from tamarindfold.interface import Outcome
-from tamarindfold.limits.open import OpenLimits
+from tamarindfold.limits.open_requests import OpenRequestLimits
 
 TRUST = Trust(["10.0.0.0/8", "fd00::/8"])
 
@@ -348,25 +348,25 @@
 
 def test_the_parts_of_a_limit_add_up_to_it() -> None:
     for gateways, width, limit, customer in ((5, 3, 10, 8), (4, 4, 6, 3), (3, 3, 3, 1)):
-        parts = [OpenLimits(gateways, i).part(limit, customer, width) for i in range(gateways)]
+        parts = [OpenRequestLimits(gateways, i).local_limit(limit, customer, width) for i in range(gateways)]
         first = customer % gateways
         assert sum(parts[(first + i) % gateways] for i in range(width)) == limit
-    assert [OpenLimits(3, i).part(1, 0, 3) for i in range(3)] == [1, 1, 1]  # never none at all
+    assert [OpenRequestLimits(3, i).local_limit(1, 0, 3) for i in range(3)] == [1, 1, 1]  # never none at all
 
 
 def test_open_requests_are_held_until_their_end_or_their_time() -> None:
-    limits = OpenLimits(1, 0)
-    assert limits.take(1, 7, 2, 1, 0, 100) is None and limits.take(2, 7, 2, 1, 0, 300) is None
-    waits = [limits.take(n, 7, 2, 1, 0, 300) for n in (3, 4, 5)]
+    limits = OpenRequestLimits(1, 0)
+    assert limits.acquire(1, 7, 2, 1, 0, 100) is None and limits.acquire(2, 7, 2, 1, 0, 300) is None
+    waits = [limits.acquire(n, 7, 2, 1, 0, 300) for n in (3, 4, 5)]
     assert waits == [50.0, 100.0, 150.0]  # a mean hold of 100 ms over two places
-    assert limits.take(6, 8, 2, 1, 0, 300) is None  # another customer
-    limits.end(2, 40)
-    limits.end(2, 40)
-    assert limits.take(7, 7, 2, 1, 50, 400) is None and limits.take(8, 7, 2, 1, 50, 400) is not None
-    assert limits.take(9, 7, 2, 1, 100, 500) is None and limits.expired == 1  # the first ran out
-    limits.end(1, 120)
+    assert limits.acquire(6, 8, 2, 1, 0, 300) is None  # another customer
+    limits.release(2, 40)
+    limits.release(2, 40)
+    assert limits.acquire(7, 7, 2, 1, 50, 400) is None and limits.acquire(8, 7, 2, 1, 50, 400) is not None
+    assert limits.acquire(9, 7, 2, 1, 100, 500) is None and limits.expired == 1  # the first ran out
+    limits.release(1, 120)
     limits.sweep(1000)
-    assert not limits.holders and not limits.owners
+    assert not limits.customers and not limits.customer_of
 
 
 @settings(max_examples=100, deadline=None)
@@ -374,7 +374,7 @@
     st.lists(st.tuples(st.integers(0, 30), st.integers(0, 3), st.booleans(), st.integers(1, 60)), max_size=80)
 )
 def test_never_more_open_than_the_limit(steps) -> None:
-    limits, now, open_by, number = OpenLimits(2, 1), 0.0, {}, 0
+    limits, now, open_by, number = OpenRequestLimits(2, 1), 0.0, {}, 0
     for gone, customer, ends, lasts in steps:
         now += gone
         for request, (_, until) in list(open_by.items()):
@@ -382,17 +382,17 @@
                 del open_by[request]
         if ends and open_by:
             request = next(iter(open_by))
-            limits.end(request, now)
+            limits.release(request, now)
             del open_by[request]
             continue
         number += 1
-        free = limits.part(5, customer, 2) - sum(c == customer for c, _ in open_by.values())
-        wait = limits.take(number, customer, 5, 2, now, now + lasts)
+        free = limits.local_limit(5, customer, 2) - sum(c == customer for c, _ in open_by.values())
+        wait = limits.acquire(number, customer, 5, 2, now, now + lasts)
         assert (wait is None) == (free > 0) and (wait is None or wait > 0)
         if wait is None:
             open_by[number] = customer, now + lasts
-    assert sum(len(h.open) for h in limits.holders.values()) >= len(open_by)
-    assert all(len(h.ends) <= 3 * len(h.open) + 17 for h in limits.holders.values())
+    assert sum(len(h.open) for h in limits.customers.values()) >= len(open_by)
+    assert all(len(h.ends) <= 3 * len(h.open) + 17 for h in limits.customers.values())
 
 
 def test_an_original_request_below_a_prefix() -> None:
--- a/tests/test_forward_front.py
+++ b/tests/test_forward_front.py
@@ -62,9 +62,9 @@
     assert (answer.status, answer.outcome) == (200, "permitted")
     assert answer.headers["tamarind-plan"] == "open" and answer.headers["tamarind-units"] == "2"
     assert answer.headers["tamarind-server"] in {s.address for s in r.servers}
-    assert len(r.ingress.core.open) == 1 and not r.entries("received")
+    assert len(r.ingress.core.open_exchanges) == 1 and not r.entries("received")
     assert report(request="p1", status=200, elapsed_ms=12.0, units=3).status == 200
-    assert told == [Outcome.OK] and not r.ingress.core.open and not r.ingress.core.gateway.calls
+    assert told == [Outcome.OK] and not r.ingress.core.open_exchanges and not r.ingress.core.gateway.calls
     assert msgspec.json.decode(report(request="p1", status=200, elapsed_ms=12.0).body) == {"repeated": 1}
     assert report(request="p1", status=200, elapsed_ms=12.0, instance=3).status == 421
     assert report(request="p2", status=200, elapsed_ms=12.0).status == 404
@@ -86,7 +86,7 @@
     assert ask(tamarind_request="p1").status == 200
     r.ingress.steady._base_ms += 10_000  # past the deadline and the lapse
     wait_for(lambda: told)
-    assert told == [Outcome.CANCELLED] and not r.ingress.core.open
+    assert told == [Outcome.CANCELLED] and not r.ingress.core.open_exchanges
     assert msgspec.json.decode(report(request="p1", status=200, elapsed_ms=5.0).body) == {"late": 1}
     slowness = [s.value for b in r.ingress.core.gateway.backends.values() for s in b.slowness]
     assert set(slowness) == {1.0}
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -55,7 +55,7 @@
 
 def let_it_run_out(r) -> None:
     """The tokens of the requests now held are no good from here on."""
-    for exchange in r.ingress.core.open.values():
+    for exchange in r.ingress.core.open_exchanges.values():
         exchange.token_until_ms = r.ingress.steady.now()
 
 
@@ -292,7 +292,7 @@
             drained.append(backend)
             entry = r.ingress.core.fleet[backend]
             news = type(entry)(backend, BackendState.DRAINING, entry.zone)
-            r.ingress.core.fleet_news(FleetUpdate(ListKind.CHANGES, [news]))
+            r.ingress.core.update_fleet(FleetUpdate(ListKind.CHANGES, [news]))
 
     late_connect(r, drain)
     assert r.ask("/switches", "POST").outcome == "served"
@@ -312,7 +312,7 @@
             times.append(backend)
             entry = r.ingress.core.fleet[backend]
             news = type(entry)(backend, BackendState.READY, up_since_ms=r.ingress.steady.now())
-            r.ingress.core.fleet_news(FleetUpdate(ListKind.CHANGES, [news]))
+            r.ingress.core.update_fleet(FleetUpdate(ListKind.CHANGES, [news]))
 
     late_connect(r, restart)
     r.ask()
@@ -335,7 +335,7 @@
     for value, units in ((b"3", 3.0), (b"1e9", 0.0), (b"-1", 0.0), (b"nan", 0.0), (b"many", 0.0)):
         reader.begin()
         reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nTamarind-Units: " + value + b"\r\n\r\n")
-        assert r.ingress.core.sender.peers.units(reader) == units
+        assert r.ingress.core.sender.backends.units(reader) == units
 
 
 # ---- the counter
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,11 +1,11 @@
-"""A request's whole path over loopback sockets."""
+"""End-to-end requests through the gateway over loopback sockets."""
 
 from __future__ import annotations
 
 import pytest
 
 
-def test_a_quote_goes_through_and_back(rig) -> None:
+def test_quote_is_forwarded_and_served(rig) -> None:
     r = rig()
     answer = r.ask("/quotes?plan=winter", tamarind_request="q-1", tamarind_units="2")
     assert (answer.status, answer.outcome, answer.headers["tamarind-request"]) == (200, "served", "q-1")
@@ -18,7 +18,7 @@
     )
 
 
-def test_keep_alive_carries_one_request_after_another(rig) -> None:
+def test_keep_alive_connection_serves_consecutive_requests(rig) -> None:
     r = rig()
     sock = r.connect()
     assert [r.ask(sock=sock).status for _ in range(5)] == [200] * 5
@@ -34,7 +34,7 @@
         ("noscope", 403, 'error="insufficient_scope"'),
     ],
 )
-def test_bad_credentials_get_the_challenge_of_rfc_6750(rig, token, status, challenge) -> None:
+def test_bad_credentials_get_an_rfc_6750_challenge(rig, token, status, challenge) -> None:
     r = rig()
     answer = r.ask("/switches", "POST", token)
     assert answer.status == status
@@ -42,13 +42,13 @@
     assert not r.entries("received")
 
 
-def test_a_token_that_names_no_plan_is_forbidden(rig) -> None:
+def test_token_without_a_plan_is_forbidden(rig) -> None:
     r = rig()
     assert r.ask(token="noplan").status == 403
     assert r.ask(token="noplan").problem["detail"] == "the token names no plan that is known here"
 
 
-def test_beyond_the_quota_a_client_is_told_when_to_return(rig) -> None:
+def test_request_over_quota_is_refused_with_retry_after(rig) -> None:
     r = rig()
     answers = [r.ask(token="small") for _ in range(12)]
     refused = [a for a in answers if a.status == 429]
@@ -81,7 +81,7 @@
         ("/quotes", "GET", {"tamarind_request": "x" * 65}, 400),
     ],
 )
-def test_what_is_asked_wrongly_gets_a_4xx_and_goes_nowhere(rig, path, method, headers, status) -> None:
+def test_malformed_request_gets_a_4xx_and_is_not_forwarded(rig, path, method, headers, status) -> None:
     r = rig()
     answer = r.ask(path, method, **headers)
     assert answer.status == status
@@ -89,7 +89,7 @@
     assert not r.entries("received")
 
 
-def test_the_token_and_hop_by_hop_headers_stay_here(rig) -> None:
+def test_token_and_hop_by_hop_headers_are_not_forwarded(rig) -> None:
     from tamarindfold.ingress.admission import passed_on
 
     kept = passed_on(
@@ -105,15 +105,16 @@
     assert kept == [(b"accept", b"*/*")]
 
 
-def test_head_has_the_length_and_no_body(rig) -> None:
+def test_head_response_leaves_the_connection_usable(rig) -> None:
     r = rig()
     sock = r.connect()
     answer = r.ask(method="HEAD", sock=sock)
     assert answer.status == 200
-    assert r.ask(sock=sock).status == 200  # the connection is still in step
+    # a body after the HEAD response would be read as the start of this one
+    assert r.ask(sock=sock).status == 200
 
 
-def test_a_stopping_gateway_finishes_what_it_holds(rig) -> None:
+def test_stopping_gateway_answers_open_requests_and_closes_idle_connections(rig) -> None:
     import gevent
 
     r = rig(server={"default_work_ms": 300.0, "sigma": 0.0})
@@ -131,7 +132,7 @@
         r.connect()
 
 
-def test_a_full_server_is_no_failure_and_another_takes_it(rig) -> None:
+def test_request_rejected_by_full_servers_is_retried_elsewhere_and_runs_once(rig) -> None:
     from tamarindfold.standins.base import Fault
 
     r = rig(servers=3, faults={0: [Fault(kind="full")], 1: [Fault(kind="full")]})
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -109,13 +109,13 @@
     monkeypatch.setattr("tamarindfold.rehearsal.load.LINGER_MS", 20_000.0)  # however slow the machine is
     r = rig(plans=CAPPED, limits={"answer_margin_ms": 0}, server={"default_work_ms": 600.0, "sigma": 0.0})
     for exchange_ms in ("give_up_ms", "deadline_ms"):
-        arrive = r.ingress.core.arrive
+        arrive = r.ingress.core.submit
 
         def later(exchange, arrive=arrive, name=exchange_ms):
             setattr(exchange, name, getattr(exchange, name) + 2000)
             arrive(exchange)
 
-        r.ingress.core.arrive = later
+        r.ingress.core.submit = later
     found = verdicts(r, tmp_path, calls=2, left_ms=300)
     assert broken(found) == {"no request lost"}
     assert found["no request lost"].first["what"] == "answered late"
@@ -124,12 +124,12 @@
 def test_a_send_after_the_final_answer(rig, tmp_path) -> None:
     r = rig(plans=CAPPED)
     core = r.ingress.core
-    core.hindrance = lambda *_: ""
+    core.reason_not_to_send = lambda *_: ""
     ended = core.attempt_ended
 
     def late(exchange, backend):
         core.sender.start(exchange, 1, core.fleet[backend], backend, 0.0)
-        core.sender.run(exchange.todo.pop())
+        core.sender.run(exchange.pending_attempts.pop())
 
     def again(exchange, attempt, backend, *rest):
         ended(exchange, attempt, backend, *rest)
@@ -187,7 +187,7 @@
             return next(iter(self.backends.values()))  # the drained one, however fast either answers
 
     r = rig(plans=CAPPED, make=Deaf)
-    r.ingress.core.hindrance = lambda *_: ""
+    r.ingress.core.reason_not_to_send = lambda *_: ""
 
     def drain() -> None:
         told = len(r.fleet.ledger.entries)
@@ -210,7 +210,7 @@
     found = verdicts(
         r,
         tmp_path,
-        middle=lambda: (r.ingress.core.fleet_news(FleetUpdate(ListKind.FULL, [])), gevent.sleep(0.6)),
+        middle=lambda: (r.ingress.core.update_fleet(FleetUpdate(ListKind.FULL, [])), gevent.sleep(0.6)),
     )
     assert "drains kept" not in broken(found)
 
@@ -259,7 +259,7 @@
 
 def test_a_request_booked_to_another_plan(rig, tmp_path) -> None:
     r = rig(plans=CAPPED)
-    r.ingress.core.sender.peers.plan = lambda number: b"small"
+    r.ingress.core.sender.backends.plan = lambda number: b"small"
     assert broken(verdicts(r, tmp_path)) == {"tokens checked"}
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -96,7 +96,7 @@
     assert w.ask(sock, cls="switch", body=b"x").status == 200
     assert w.ask(sock, cls="switch", body=b"x").status == 200
     assert w.node.pool.counts["opened"] == 3 and w.node.pool.counts["found_closed"] == 1
-    w.node.pool.broke_at -= w.node.limits.kept_trust_ms
+    w.node.pool.last_broken_ms -= w.node.limits.kept_trust_ms
     assert w.ask(sock, cls="switch", body=b"x").status == 200
     assert w.node.pool.counts["opened"] == 3
 
@@ -116,7 +116,7 @@
     w = world(body="x" * 321_544)
     sock = w.connect()
     answers = [w.ask(sock) for _ in range(3)]
-    assert {a.status for a in answers} == statuses and w.node.upstream.held == 0
+    assert {a.status for a in answers} == statuses and w.node.upstream.held_bytes == 0
     assert all(len(a.body) == 321_544 for a in answers if a.status == 200)
 
 
@@ -126,7 +126,7 @@
     held: list[int] = []
     tell = w.node.core.attempt_ended
     monkeypatch.setattr(
-        w.node.core, "attempt_ended", lambda *a: (held.append(w.node.upstream.peak), tell(*a))
+        w.node.core, "attempt_ended", lambda *a: (held.append(w.node.upstream.peak_held_bytes), tell(*a))
     )
     assert w.ask(cls="switch", body=b"x").status == 502
     assert len(held) == 1 and held[0] <= 3 * 65_536
@@ -149,7 +149,7 @@
     sock.sendall(w.text())
     wait_for(lambda: w.came())
     sock.close()
-    wait_for(lambda: w.node.upstream.counts["cancelled"] == 1 and not w.node.pool.held)
+    wait_for(lambda: w.node.upstream.counts["cancelled"] == 1 and not w.node.pool.total_open)
     assert w.node.core.counts["left"] == 1 and not w.node.front.open_names
 
 
@@ -383,7 +383,7 @@
         assert w.ask(sock).status == 200
         w.opened.pop().close()
     wait_for(lambda: w.node.book.generation == 191 and not len(w.node.front.clients))
-    w.node.pool.tidy(w.node.core.fleet.__contains__)
+    w.node.pool.prune_idle(w.node.core.fleet.__contains__)
     sizes = w.node.counts()["sizes"]
     assert sizes["backends"] == sizes["book"] == 3 and sizes["to_backends"] <= 8
     assert not any(sizes[what] for what in ("clients", "idle", "silent", "held", "open", "calls"))
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -200,7 +200,7 @@
     assert p.ask().status == 200
     wait_for(lambda: p.permits[counted] == 1 or p.permits["unknown"] == 1)
     wait_for(lambda: p.permits["settled"] == 1)
-    assert len(told) == 1 and not p.r.ingress.core.open
+    assert len(told) == 1 and not p.r.ingress.core.open_exchanges
 
 
 def test_a_report_while_the_decision_is_made_is_settled_with_it(proxied) -> None:
@@ -214,7 +214,7 @@
     core.gateway.handle = real
     core.post(held[0])
     assert job.get().status == 200 and p.permits["settled"] == 1
-    assert core.counts["served"] == 1 and not core.open
+    assert core.counts["served"] == 1 and not core.open_exchanges
 
 
 def test_a_report_for_another_instance_settles_nothing(proxied) -> None:
@@ -225,7 +225,7 @@
     p.proxy.turn = 1  # so that the first is asked, and the second told
     assert p.ask().status == 200
     wait_for(lambda: other.permits["elsewhere"] == 1)
-    assert p.permits["settled"] == 0 and len(p.r.ingress.core.open) == 1
+    assert p.permits["settled"] == 0 and len(p.r.ingress.core.open_exchanges) == 1
 
 
 def test_the_proxy_gives_up_while_we_decide_and_nothing_is_counted(proxied) -> None:
@@ -378,7 +378,7 @@
     p.r.servers[0].inject(Fault(kind="hang"))
     p.r.servers[1].inject(Fault(kind="hang"))
     hanging = gevent.spawn(p.r.ask)
-    wait_for(lambda: len(p.r.ingress.core.limits.owners) == 3)
+    wait_for(lambda: len(p.r.ingress.core.limits.customer_of) == 3)
     for answer in (p.ask(), p.r.ask()):
         assert answer.status == 429 and answer.problem["title"] == "Too many at once"
         assert int(answer.headers["tamarind-retry-after-ms"]) > 0
@@ -389,12 +389,12 @@
     p = proxied()
     assert p.ask().status == 200  # the token is known now, however slow the machine is
     core, front = p.r.ingress.core, p.r.ingress.forward
-    wait_for(lambda: not core.open)
+    wait_for(lambda: not core.open_exchanges)
     front.section = msgspec.structs.replace(front.section, decide_ms=60)
     core.gateway.handle = lambda now, event: []
     answer = p.ask()
     assert (answer.status, answer.outcome) == (503, "refused")
-    assert p.r.ingress.forward.counts["overdue"] == 1 and not core.open
+    assert p.r.ingress.forward.counts["overdue"] == 1 and not core.open_exchanges
 
 
 def test_a_pressed_front_turns_the_least_worth_away_unchecked(proxied) -> None:
@@ -414,7 +414,7 @@
     p.r.ingress.core.attempt_ended = lambda *a: (told.append(a[3].name), ended(*a))
     assert p.ask().status == 200
     wait_for(lambda: told)
-    assert told == ["CANCELLED"] and not p.r.ingress.core.open
+    assert told == ["CANCELLED"] and not p.r.ingress.core.open_exchanges
     assert (
         "permitted" in {e["what"] for e in p.proxy.ledger.entries}
         and p.proxy.ledger.of("permitted")[0]["server"] == ""
@@ -519,7 +519,7 @@
 
     p = proxied(make=Deaf, plans=CAPPED)
     r = p.r
-    r.ingress.core.hindrance = lambda *_: ""
+    r.ingress.core.reason_not_to_send = lambda *_: ""
     made = judged_day(len(r.servers))
     address = f"127.0.0.1:{p.proxy.server.server_port}"
     (tmp_path / "ledgers").mkdir()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -415,21 +415,23 @@
 
 
 def test_news_go_before_all_that_lay_there_after_a_standstill(rig, monkeypatch) -> None:
-    monkeypatch.setattr("tamarindfold.ingress.core.SETTLE_S", 3600.0)  # the test says when the moment is over
+    monkeypatch.setattr(
+        "tamarindfold.ingress.core.RESUME_DELAY_S", 3600.0
+    )  # the test says when the moment is over
     r = rig(servers=2)
     core, seen = r.ingress.core, []
     real = core.gateway.handle
     core.gateway.handle = lambda now, event: seen.append(event) or real(now, event)
     drained = r.servers[0]
     entry = next(e for e in core.fleet.values() if e.backend & 0xFFFF == drained.server.server_port)
-    core.turned_at -= 5_000  # as after SIGSTOP
+    core.last_turn_ms -= 5_000  # as after SIGSTOP
     job = gevent.spawn(r.ask)
     wait_for(lambda: core.counts["arrived"])
-    assert not any(isinstance(e, RequestArrived) for e in seen) and not core.awake.is_set()
-    core.fleet_news(FleetUpdate(ListKind.CHANGES, [replace(entry, state=BackendState.DRAINING)]))
+    assert not any(isinstance(e, RequestArrived) for e in seen) and not core.resumed.is_set()
+    core.update_fleet(FleetUpdate(ListKind.CHANGES, [replace(entry, state=BackendState.DRAINING)]))
     assert [type(e) for e in seen] == [StoodStill, FleetUpdate]
-    core.awake.set()
-    core._pump()
+    core.resumed.set()
+    core._process_events()
     assert job.get().status == 200
     kinds = [type(e) for e in seen]
     assert kinds.index(StoodStill) < kinds.index(FleetUpdate) < kinds.index(RequestArrived)
