--- a/tamarindfold/agreement/driver.py
+++ b/tamarindfold/agreement/driver.py
@@ -25,7 +25,7 @@
 from tamarindfold.http1.client import send_request
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.identity.wire import BadUpdate
-from tamarindfold.links.follower import Follower
+from tamarindfold.links.subscription import Subscription
 from tamarindfold.links.link import Link
 
 WAITS = 8  # questions in a window, at least, while nothing is new
@@ -108,7 +108,7 @@
         self.folder = Folder(folder, life) if folder is not None else None
         self.lease = Lease(life, name, len(keepers), self.folder.replaces if self.folder else "", zone)
         self.followers = [
-            Follower(
+            Subscription(
                 Link(address, CONNECT_S, Backoff(LEAST_PAUSE_S, MOST_PAUSE_S), source_address),
                 partial(self._talk, k),
                 self._lost,
@@ -172,7 +172,7 @@
     def _hurry(self) -> None:
         """Ask anew at once, with what there is to say."""
         for follower in self.followers:
-            follower.link.cut()
+            follower.link.disconnect()
 
     # ---- greenlets
 
@@ -195,7 +195,7 @@
             if status != 200:
                 raise ValueError(f"keeper {keeper} answered {status}")
             self._answered(keeper, body)
-            follower.well()
+            follower.message_received()
             if asked.number == self.lease.state.number and not self.lease.led:
                 gevent.sleep(wait_ms / 4000)  # waits for a place: no need to ask in a row
 
--- a/tamarindfold/counter/__init__.py
+++ b/tamarindfold/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The shared counter: one add with an expiry for each call, spoken in the Redis protocol (RESP)."""
+"""Client of the shared counter service: one add with an expiry per call, over the Redis protocol (RESP)."""
--- a/tamarindfold/counter/driver.py
+++ b/tamarindfold/counter/driver.py
@@ -1,4 +1,4 @@
-"""One connection to each part of the counter; carries out calls and hands back their answers."""
+"""Connections to the counter: one to each of its parts; sends calls and reports their answers."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from gevent import socket
 from gevent.event import Event
 
-from tamarindfold.counter.pipeline import Dialect, Pipeline, part_of
+from tamarindfold.counter.pipeline import Dialect, Pipeline, part_index
 from tamarindfold.ds.backoff import Backoff
 from tamarindfold.interface import Count, CountAnswered
 from tamarindfold.links.link import Link
 
-CONNECT_S = 0.5
-MOST_PAUSE_S = 0.5  # between two tries to connect
+CONNECT_TIMEOUT_S = 0.5
+MAX_RECONNECT_PAUSE_S = 0.5
 
 
-class _Part:
-    """One part: a greenlet that connects and reads, one that writes, one that watches the time."""
+class _PartConnection:
+    """The connection to one part, with separate greenlets to read, to write and to check time-outs."""
 
     def __init__(
         self,
@@ -29,134 +29,144 @@
         pipeline: Pipeline,
         reconnect_ms: float,
         clock: Callable[[], float],
-        tell: Callable[[CountAnswered], None],
+        report: Callable[[CountAnswered], None],
         log: Callable[..., None],
-        keep_ms: float,
+        keepalive_ms: float,
     ) -> None:
-        self.pipeline, self.written_at, self.keep_s = pipeline, 0.0, keep_ms / 1000
-        self.link = Link(address, CONNECT_S, Backoff(reconnect_ms / 1000, MOST_PAUSE_S))
-        self.clock, self.tell, self.log = clock, tell, log
-        self.out: list[bytes] = []
-        self.to_write, self.to_watch = Event(), Event()
-        chores = (self._read, self._write, self._watch, *([self._keep] if keep_ms else []))
-        self.greenlets = [gevent.spawn(f) for f in chores]
+        self.pipeline, self.last_write_ms, self.keepalive_s = pipeline, 0.0, keepalive_ms / 1000
+        self.link = Link(address, CONNECT_TIMEOUT_S, Backoff(reconnect_ms / 1000, MAX_RECONNECT_PAUSE_S))
+        self.clock, self.report, self.log = clock, report, log
+        self.write_buffer: list[bytes] = []
+        self.write_requested, self.call_sent = Event(), Event()
+        loops = (self._read, self._write, self._watch, *([self._keep_alive] if keepalive_ms else []))
+        self.greenlets = [gevent.spawn(loop) for loop in loops]
 
     def call(self, count: Count) -> None:
         made = self.pipeline.call(self.clock(), count)
         if isinstance(made, CountAnswered):
-            self.tell(made)
+            self.report(made)
             return
         self._send(made)
-        self.to_watch.set()
+        self.call_sent.set()
 
     def _send(self, data: bytes) -> None:
-        self.out.append(data)
-        self.written_at = self.clock()
-        self.to_write.set()
+        self.write_buffer.append(data)
+        self.last_write_ms = self.clock()
+        self.write_requested.set()
 
     def _lost(self, reason: Exception | None) -> None:
-        """What was out may have been added."""
+        """Fail the outstanding calls; their amounts may have been added."""
         if self.pipeline.connected:
             self.log("counter.lost", part=self.link.address, reason=str(reason or "closed"))
-        self.out.clear()
+        self.write_buffer.clear()
         for answer in self.pipeline.lost(self.clock()):
-            self.tell(answer)
+            self.report(answer)
 
     def _read(self) -> None:
-        self.link.keep(self._follow, self._lost)
+        self.link.maintain(self._read_replies, self._lost)
 
-    def _follow(self, sock: socket.socket) -> None:
-        """Hand on replies until the connection ends."""
+    def _read_replies(self, sock: socket.socket) -> None:
+        """Report the answers that come on one connection until it ends."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(None)
         reader = hiredis.Reader()
-        self.pipeline.connected, self.written_at = True, self.clock()
+        self.pipeline.connected, self.last_write_ms = True, self.clock()
         self.log("counter.connected", part=self.link.address)
         while data := sock.recv(65536):
             reader.feed(data)
-            while (value := self._value(reader)) is not False:
+            while (value := self._next_reply(reader)) is not False:
                 for answer in self.pipeline.replies(self.clock(), (value,)):
-                    self.tell(answer)
-                if self.pipeline.spoilt:
-                    raise ValueError("a reply that makes no sense")
+                    self.report(answer)
+                if self.pipeline.corrupted:
+                    raise ValueError("counter: a reply is neither a finite number nor a known error")
             self.link.backoff.well()
 
     @staticmethod
-    def _value(reader: Any) -> Any:
-        """The next reply, False where none is whole yet; ValueError where the bytes are no reply."""
+    def _next_reply(reader: Any) -> Any:
+        """The next complete reply, False if there is none yet; ValueError if the bytes are not valid RESP."""
         try:
             return reader.gets()
         except hiredis.ProtocolError as error:
             raise ValueError(str(error)) from None
 
-    def _keep(self) -> None:
-        """Guards against idle closes, which the next call would pay for."""
+    def _keep_alive(self) -> None:
+        """Ping an idle connection: if the counter closed it, the next call would fail."""
         while True:
-            gevent.sleep(self.keep_s / 2)
-            if self.link.sock is not None and self.clock() - self.written_at >= self.keep_s * 1000:
+            gevent.sleep(self.keepalive_s / 2)
+            if self.link.sock is not None and self.clock() - self.last_write_ms >= self.keepalive_s * 1000:
                 self._send(self.pipeline.ping(self.clock()))
 
     def _write(self) -> None:
         while True:
-            self.to_write.wait()
-            self.to_write.clear()
-            data, self.out[:] = b"".join(self.out), []
+            self.write_requested.wait()
+            self.write_requested.clear()
+            data, self.write_buffer[:] = b"".join(self.write_buffer), []
             if self.link.sock is not None and data:
-                with suppress(OSError):  # the reader sees the same end and tells of it
+                with suppress(OSError):  # the reader sees the same error and reports the loss
                     self.link.sock.sendall(data)
 
     def _watch(self) -> None:
+        """Time out calls, and disconnect when the oldest reply is overdue for too long."""
         while True:
             due = self.pipeline.next_due()
             if due is None:
-                self.to_watch.wait()
-                self.to_watch.clear()
+                self.call_sent.wait()
+                self.call_sent.clear()
                 continue
             gevent.sleep(max(0.0, due - self.clock()) / 1000)
             now = self.clock()
             for answer in self.pipeline.due(now):
-                self.tell(answer)
+                self.report(answer)
             if self.pipeline.stuck(now):
-                self.link.cut()  # the reader takes it from there
+                self.link.disconnect()  # the reader sees the end and reconnects
 
 
 class Counter:
-    """All parts of the shared counter."""
+    """The shared counter service; its names are spread by hash over its parts (shards)."""
 
     def __init__(
         self,
         addresses: list[tuple[str, int]],
         timeout_ms: float,
-        most_pending: int,
+        max_pending: int,
         dialect: Dialect,
         reconnect_ms: float,
         clock: Callable[[], float],
-        tell: Callable[[CountAnswered], None],
+        report: Callable[[CountAnswered], None],
         log: Callable[..., None],
-        keep_ms: float = 0.0,
+        keepalive_ms: float = 0.0,
     ) -> None:
-        """keep_ms: a connection idle so long is used, so that it stays open; 0: it is left alone."""
+        """max_pending: of each part; keepalive_ms: idle time after which a connection is pinged, 0: never."""
         self.parts = [
-            _Part(
-                address, Pipeline(timeout_ms, most_pending, dialect), reconnect_ms, clock, tell, log, keep_ms
+            _PartConnection(
+                address,
+                Pipeline(timeout_ms, max_pending, dialect),
+                reconnect_ms,
+                clock,
+                report,
+                log,
+                keepalive_ms,
             )
             for address in addresses
         ]
 
-    def move(self, addresses: list[tuple[str, int]]) -> None:
-        """The same parts are reached elsewhere from now on."""
+    def change_addresses(self, addresses: list[tuple[str, int]]) -> None:
+        """Reach the same parts at other addresses from now on."""
         for part, address in zip(self.parts, addresses, strict=True):
-            part.link.move(address)
+            part.link.change_address(address)
 
     def call(self, count: Count) -> None:
-        """Make one call; its one answer is told later, or at once where it can't be made."""
-        self.parts[part_of(count.name, len(self.parts))].call(count)
+        """Make one call; its single answer is reported later, or at once if the call can't be made."""
+        self.parts[part_index(count.name, len(self.parts))].call(count)
 
     def retire(self) -> None:
-        """Another counter takes this one's place: what is out may have been added; nobody waits for it."""
+        """Stop because another counter replaces this one.
+
+        Outstanding calls are reported as failed at once; their amounts may have been added.
+        """
         for part in self.parts:
             for answer in part.pipeline.lost(part.clock()):
-                part.tell(answer)
+                part.report(answer)
         self.stop()
 
     def stop(self) -> None:
--- a/tamarindfold/counter/pipeline.py
+++ b/tamarindfold/counter/pipeline.py
@@ -1,7 +1,7 @@
-"""Decides which reply belongs to which call on one pipelined connection. No I/O, no clock.
+"""Matches replies with calls on one pipelined connection. No I/O, no clock; times are in milliseconds.
 
-A call given up is never sent again; its late replies are counted off and dropped, so that those behind it
-still find their owners. How a call is worded is the dialect's.
+A call that timed out is never sent again. Its late reply is still matched with it and dropped, so that the
+replies behind it go to the right calls. The dialect defines the commands of a call.
 """
 
 from __future__ import annotations
@@ -14,43 +14,50 @@
 
 from tamarindfold.interface import Count, CountAnswered, Outcome
 
-STUCK = 5.0  # times the time-out: a connection whose oldest reply is this late is given up
+STUCK_TIMEOUTS = 5.0  # a connection is replaced if its oldest reply is missing after this many time-outs
 
 
 @dataclass(slots=True)
 class _Call:
+    """A call or ping that was sent; `at` is the time of sending."""
+
     name: int
     at: float
-    told: bool = False  # the module has its answer already
-    replies: int = 0
-    idle: bool = False  # nobody's: it keeps the connection open
+    answered: bool = False  # its answer was reported to the caller
+    replies: int = 0  # received so far
+    keepalive: bool = False  # a ping, not a call
+
 
+def part_index(name: int, parts: int) -> int:
+    """The part that holds a name, the same at every gateway.
 
-def part_of(name: int, parts: int) -> int:
-    """The part that holds a name: the same at every gateway, even over names that differ in few bits."""
+    The name is hashed, since names that differ in only a few bits must be spread evenly, too.
+    """
     mixed = (name ^ name >> 33) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     return (mixed >> 32) % parts
 
 
-def command(*words: bytes) -> bytes:
-    """A command in RESP."""
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+def command(*arguments: bytes) -> bytes:
+    """Encode a command in RESP."""
+    return b"*%d\r\n" % len(arguments) + b"".join(
+        b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments
+    )
 
 
 class Dialect(Protocol):
-    """How a counter is called; in every dialect the first reply of a call tells its total."""
+    """The commands of one kind of counter; in every dialect the first reply to a call has the total."""
 
-    replies: int  # to each call
+    replies: int  # number of replies to each call
 
     def call(self, count: Count) -> bytes:
-        """The bytes of a call."""
+        """Encode a call."""
 
     def nothing_added(self, error: Exception) -> bool:
-        """Whether an error reply proves that nothing was added."""
+        """Whether an error reply proves that the amount was not added."""
 
 
 class IncrByFloat:
-    """INCRBYFLOAT and PEXPIRE ... NX in one write: the second keeps the life of an existing name as it is."""
+    """INCRBYFLOAT and PEXPIRE in one write; PEXPIRE has NX, so an expiry that is already set is kept."""
 
     replies = 2
 
@@ -68,22 +75,22 @@
 
 
 class Pipeline:
-    """The calls out on one connection."""
+    """The outstanding calls on one connection."""
 
-    def __init__(self, timeout_ms: float, most_pending: int, dialect: Dialect) -> None:
-        self.timeout_ms, self.most_pending, self.dialect = timeout_ms, most_pending, dialect
+    def __init__(self, timeout_ms: float, max_pending: int, dialect: Dialect) -> None:
+        self.timeout_ms, self.max_pending, self.dialect = timeout_ms, max_pending, dialect
         self.connected = False
-        self.spoilt = False  # a reply made no sense: what follows on this connection can't be trusted
-        self.calls: deque[_Call] = deque()  # in the order sent, those given up among them
-        self.waiting: deque[_Call] = deque()  # those the module still waits for, oldest first
-        self.dropped = self.turned_away = 0
+        self.corrupted = False  # a reply was invalid: later replies on this connection can't be trusted
+        self.calls: deque[_Call] = deque()  # in the order sent, including those that timed out
+        self.waiting: deque[_Call] = deque()  # calls whose answer has not been reported yet, oldest first
+        self.late_replies = self.rejected = 0
 
     def call(self, now: float, count: Count) -> bytes | CountAnswered:
-        """What to write for a call, or its answer where it can't be made."""
+        """The bytes to write for a call, or its answer if it can't be made."""
         if not self.connected:
             return CountAnswered(count.name, Outcome.CONNECT_FAILED, 0.0, 0.0)
-        if len(self.calls) >= self.most_pending:
-            self.turned_away += 1
+        if len(self.calls) >= self.max_pending:
+            self.rejected += 1
             return CountAnswered(count.name, Outcome.FULL, 0.0, 0.0)
         call = _Call(count.name, now)
         self.calls.append(call)
@@ -91,74 +98,74 @@
         return self.dialect.call(count)
 
     def ping(self, now: float) -> bytes:
-        """What keeps an idle connection open; its reply is counted off like a late one."""
+        """The bytes of a ping that keeps an idle connection open; its reply is matched and dropped."""
         self.calls.append(_Call(0, now, True, self.dialect.replies - 1, True))
         return command(b"PING")
 
     def replies(self, now: float, values: Iterable[object]) -> list[CountAnswered]:
-        """Match replies with calls; ValueError where one belongs to none."""
-        out = []
+        """Match replies with calls and return the answers; ValueError if no call awaits a reply."""
+        answers = []
         for value in values:
             if not self.calls:
-                raise ValueError("counter: a reply to no call")
+                raise ValueError("counter: received a reply that matches no call")
             call = self.calls[0]
             call.replies += 1
-            if not call.told:
-                call.told = True
-                out.append(self._answer(now, call, value))
-            elif call.replies == 1 and not call.idle:
-                self.dropped += 1
+            if not call.answered:
+                call.answered = True
+                answers.append(self._answer(now, call, value))
+            elif call.replies == 1 and not call.keepalive:
+                self.late_replies += 1
             if call.replies == self.dialect.replies:
                 self.calls.popleft()
-        self._forget_told()
-        return out
+        self._discard_answered()
+        return answers
 
     def _answer(self, now: float, call: _Call, value: object) -> CountAnswered:
-        """A number is the total; of errors the dialect says whether they prove that nothing was added."""
-        took = now - call.at
+        """A finite number is the total; for an error the dialect decides whether nothing was added."""
+        elapsed_ms = now - call.at
         if isinstance(value, bytes | str | int | float) and not isinstance(value, bool):
             try:
                 total = float(value)
             except ValueError:
                 total = math.nan
             if math.isfinite(total):
-                return CountAnswered(call.name, Outcome.OK, took, total)
-        turned_away = isinstance(value, Exception) and self.dialect.nothing_added(value)
-        outcome = Outcome.FULL if turned_away else Outcome.ERROR
-        self.spoilt = self.spoilt or not turned_away
-        return CountAnswered(call.name, outcome, took, 0.0)
+                return CountAnswered(call.name, Outcome.OK, elapsed_ms, total)
+        rejected = isinstance(value, Exception) and self.dialect.nothing_added(value)
+        outcome = Outcome.FULL if rejected else Outcome.ERROR
+        self.corrupted = self.corrupted or not rejected
+        return CountAnswered(call.name, outcome, elapsed_ms, 0.0)
 
     def due(self, now: float) -> list[CountAnswered]:
-        """The calls whose time is up: the amount may have been added."""
-        out = []
-        while self.waiting and (self.waiting[0].told or now >= self.waiting[0].at + self.timeout_ms):
+        """Time out calls and return their answers; the amounts may have been added."""
+        answers = []
+        while self.waiting and (self.waiting[0].answered or now >= self.waiting[0].at + self.timeout_ms):
             call = self.waiting.popleft()
-            if not call.told:
-                call.told = True
-                out.append(CountAnswered(call.name, Outcome.TIMEOUT, now - call.at, 0.0))
-        return out
+            if not call.answered:
+                call.answered = True
+                answers.append(CountAnswered(call.name, Outcome.TIMEOUT, now - call.at, 0.0))
+        return answers
 
     def next_due(self) -> float | None:
-        """When due() has something to tell next."""
-        self._forget_told()
+        """When the next call times out; None if no call is waiting."""
+        self._discard_answered()
         return self.waiting[0].at + self.timeout_ms if self.waiting else None
 
     def stuck(self, now: float) -> bool:
-        """Whether the oldest reply is so late that a new connection is the better hope."""
-        return bool(self.calls) and now >= self.calls[0].at + STUCK * self.timeout_ms
+        """Whether the oldest reply is so late that the connection should be replaced."""
+        return bool(self.calls) and now >= self.calls[0].at + STUCK_TIMEOUTS * self.timeout_ms
 
     def lost(self, now: float) -> list[CountAnswered]:
-        """The connection is gone: what was out may have been added, and no reply will come."""
-        self.connected = self.spoilt = False
-        out = [
+        """The connection is lost: fail all outstanding calls; their amounts may have been added."""
+        self.connected = self.corrupted = False
+        answers = [
             CountAnswered(call.name, Outcome.RESET, now - call.at, 0.0)
             for call in self.calls
-            if not call.told
+            if not call.answered
         ]
         self.calls.clear()
         self.waiting.clear()
-        return out
+        return answers
 
-    def _forget_told(self) -> None:
-        while self.waiting and self.waiting[0].told:
+    def _discard_answered(self) -> None:
+        while self.waiting and self.waiting[0].answered:
             self.waiting.popleft()
--- a/tamarindfold/identity/driver.py
+++ b/tamarindfold/identity/driver.py
@@ -20,7 +20,7 @@
 from tamarindfold.identity.model import PlanRow
 from tamarindfold.identity.resolve import Denied, Known
 from tamarindfold.identity.wire import BadUpdate, read
-from tamarindfold.links.follower import Follower as LinkFollower
+from tamarindfold.links.subscription import Subscription
 from tamarindfold.links.link import Link
 
 UPDATE_BYTES = 512 << 20
@@ -56,7 +56,7 @@
         self.source = (source_address, 0) if source_address else None
         self.clock, self.tell_plans, self.log = clock, plans, log
         self.follower = Follower()
-        self.news = LinkFollower(
+        self.news = Subscription(
             Link(registry, CONNECT_S, Backoff(self.reconnect_s, self.reconnect_s), source_address),
             self._read,
             self._lost,
@@ -186,7 +186,7 @@
             if status != 200:
                 raise BadResponse(f"status {status}")
             if self._take(body):
-                self.news.well()
+                self.news.message_received()
             else:
                 gevent.sleep(self.reconnect_s)  # of no use now: no hurry to hear it again
             if not reader.reusable:
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -34,7 +34,7 @@
 from tamarindfold.interface import FleetUpdate, ListKind, PlansChanged, Settings
 from tamarindfold.introspection.checker import Rules
 from tamarindfold.introspection.driver import Introspector
-from tamarindfold.membership.driver import FeedFollower
+from tamarindfold.membership.driver import FeedSubscriber
 from tamarindfold.recovery.driver import Recorder
 
 SLEW_EVERY_S = 1.0
@@ -106,7 +106,7 @@
         self.turned_at = time.monotonic()
         self.stopping = False
         self.counter: Counter | None = None
-        self.feed: FeedFollower | None = None
+        self.feed: FeedSubscriber | None = None
         self.listener: StreamServer | None = None
         self.chores: list[gevent.Greenlet] = []
         self.background = Background(config.recovery.background_part, log)
@@ -177,7 +177,7 @@
         if config.fleet.static:
             self.core.update_fleet(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
         else:
-            self.feed = FeedFollower(
+            self.feed = FeedSubscriber(
                 split_address(config.fleet.feed, "fleet.feed"),
                 config.fleet.reconnect_ms,
                 self._state_file("fleet", "json"),
@@ -188,7 +188,7 @@
             self.feed.start()
             # Guards against sends by a saved list: what left it meanwhile was told to an earlier life.
             if self.core.fleet:
-                self.feed.follower.first(config.fleet.first_list_ms, self.log)
+                self.feed.subscription.wait_for_first_message(config.fleet.first_list_ms, self.log)
         if self.identity is not None:
             self.identity.start()
         else:
@@ -341,8 +341,8 @@
         """All counters, by part."""
         counter = (
             {
-                "turned_away": sum(p.pipeline.turned_away for p in self.counter.parts),
-                "dropped": sum(p.pipeline.dropped for p in self.counter.parts),
+                "turned_away": sum(p.pipeline.rejected for p in self.counter.parts),
+                "dropped": sum(p.pipeline.late_replies for p in self.counter.parts),
             }
             if self.counter
             else {}
--- a/tamarindfold/keeper/server.py
+++ b/tamarindfold/keeper/server.py
@@ -94,7 +94,7 @@
 
     def run(self) -> None:
         """For ever."""
-        self.link.keep(self._talk, self._lost)
+        self.link.maintain(self._talk, self._lost)
 
     def _lost(self, reason: Exception | None) -> None:
         self.lost += 1
--- a/tamarindfold/links/__init__.py
+++ b/tamarindfold/links/__init__.py
@@ -1,1 +1,1 @@
-"""One connection that is kept to one address at a time."""
+"""Persistent TCP connections: one connection to one address, re-established after any loss."""
--- a/tamarindfold/links/link.py
+++ b/tamarindfold/links/link.py
@@ -1,4 +1,4 @@
-"""Keeps one connection: connects, is connected anew after any end, and moves to another address at once."""
+"""A persistent TCP connection: reconnects with backoff after any loss, and its address can be changed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class Link:
-    """What is read, and what its end means, is the user's. `sock`: the connection, while there is one."""
+    """One connection to one address at a time; `sock` is the current connection, None while there is none.
+
+    The owner supplies the function that reads from the connection and decides what a loss means.
+    """
 
     def __init__(
         self, address: tuple[str, int], connect_s: float, backoff: Backoff, source_address: str = ""
@@ -20,37 +23,43 @@
         self.address, self.connect_s, self.backoff = address, connect_s, backoff
         self.source = (source_address, 0) if source_address else None
         self.sock: socket.socket | None = None
-        self._hurry = Event()
+        self._address_changed = Event()
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Go to another address at once; the connection to the old one ends."""
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Connect to another address without a backoff pause; the connection to the old address is closed."""
         if address != self.address:
             self.address = address
-            self._hurry.set()
-            self.cut()
+            self._address_changed.set()
+            self.disconnect()
 
-    def cut(self) -> None:
-        """End the connection: its reader sees that."""
+    def disconnect(self) -> None:
+        """Shut the connection down; its reader then sees the end of the stream."""
         if self.sock is not None:
-            with suppress(OSError):  # closed already
+            with suppress(OSError):  # already closed
                 self.sock.shutdown(socket.SHUT_RDWR)
 
-    def keep(self, read: Callable[[socket.socket], None], lost: Callable[[Exception | None], None]) -> None:
-        """For ever: connect and read until that ends; lost is told why (None: an orderly end)."""
+    def maintain(
+        self, read: Callable[[socket.socket], None], lost: Callable[[Exception | None], None]
+    ) -> None:
+        """Connect and call `read` on each connection, forever.
+
+        `lost` is called after every connection and every failed attempt to connect, with the error or, where
+        `read` returned, None.
+        """
         while True:
-            self._hurry.clear()
+            self._address_changed.clear()
             reason: Exception | None = None
             try:
-                self._follow(read)
+                self._read_once(read)
             except (OSError, ValueError) as error:
                 reason = error
             lost(reason)
-            self._hurry.wait(self.backoff.failed())
+            self._address_changed.wait(self.backoff.failed())
 
-    def _follow(self, read: Callable[[socket.socket], None]) -> None:
+    def _read_once(self, read: Callable[[socket.socket], None]) -> None:
         address = self.address
         with socket.create_connection(address, self.connect_s, self.source) as sock:
-            if address != self.address:  # moved meanwhile
+            if address != self.address:  # the address changed while connecting
                 return
             self.sock = sock
             try:
--- a/tamarindfold/membership/__init__.py
+++ b/tamarindfold/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the servers are: the list as it is told, kept in order, and saved for a restart."""
+"""Fleet membership: the list of servers as the feed publishes it, saved to disk for a restart."""
--- a/tamarindfold/membership/driver.py
+++ b/tamarindfold/membership/driver.py
@@ -1,4 +1,4 @@
-"""Follows a feed over TCP and keeps the last list on disk."""
+"""Subscribes to the server feed over TCP and saves the latest list to disk."""
 
 from __future__ import annotations
 
@@ -10,50 +10,53 @@
 from tamarindfold.ds.backoff import Backoff
 from tamarindfold.ds.durable import replace
 from tamarindfold.interface import FleetUpdate, ListKind
-from tamarindfold.links.follower import Follower
 from tamarindfold.links.link import Link
-from tamarindfold.membership.feed import FleetList
+from tamarindfold.links.subscription import Subscription
+from tamarindfold.membership.feed import ServerList
 
-LINE_BYTES = 4 << 20
-CONNECT_S = 2.0
+MAX_LINE_BYTES = 4 << 20
+CONNECT_TIMEOUT_S = 2.0
 
 
-class FeedFollower:
-    """Reads lines, tells each update, and begins anew after any fault."""
+class FeedSubscriber:
+    """Passes each update of the feed to `notify`; reconnects after any loss or invalid message."""
 
     def __init__(
         self,
         address: tuple[str, int],
         reconnect_ms: float,
         saved_at: Path | None,
-        tell: Callable[[FleetUpdate], None],
+        notify: Callable[[FleetUpdate], None],
         log: Callable[..., None],
         source_address: str = "",
     ) -> None:
-        self.saved_at, self.tell, self.log = saved_at, tell, log
-        self.fleet = FleetList()
+        """saved_at: the file that keeps the last list for a restart; None: nothing is saved."""
+        self.saved_at, self.notify, self.log = saved_at, notify, log
+        self.servers = ServerList()
         pause_s = reconnect_ms / 1000
-        self.follower = Follower(
-            Link(address, CONNECT_S, Backoff(pause_s, pause_s), source_address), self._read, self._lost
+        self.subscription = Subscription(
+            Link(address, CONNECT_TIMEOUT_S, Backoff(pause_s, pause_s), source_address),
+            self._read,
+            self._lost,
         )
 
     def start(self) -> None:
-        """Tell the saved list, if there is one, then follow the feed."""
+        """Publish the saved list, if there is one, then subscribe to the feed."""
         if self.saved_at is not None and self.saved_at.exists():
             try:
-                self.tell(self.fleet.restore(self.saved_at.read_bytes()))
+                self.notify(self.servers.restore(self.saved_at.read_bytes()))
             except (OSError, ValueError) as error:
                 self.log("fleet.saved_list_unusable", path=str(self.saved_at), reason=str(error))
-        self.follower.start()
+        self.subscription.start()
 
     def stop(self) -> None:
-        """End it."""
-        self.follower.stop()
+        """End the subscription."""
+        self.subscription.stop()
 
     def _lost(self, reason: Exception | None) -> None:
-        self.log("fleet.feed_lost", reason=str(reason or "closed"), version=self.fleet.version)
-        self.fleet.version = -1  # what was missed is not known: only a full list counts now
-        self.tell(FleetUpdate(ListKind.FAILED, []))
+        self.log("fleet.feed_lost", reason=str(reason or "closed"), version=self.servers.version)
+        self.servers.version = -1  # changes may have been missed: only a full list is accepted next
+        self.notify(FleetUpdate(ListKind.FAILED, []))
 
     def _read(self, sock: socket.socket) -> None:
         sock.settimeout(None)
@@ -61,18 +64,18 @@
         while data := sock.recv(65536):
             *lines, rest = (rest + data).split(b"\n")
             for line in lines:
-                self.tell(self.fleet.take(line))
+                self.notify(self.servers.apply(line))
             if lines:
-                self.follower.well()
+                self.subscription.message_received()
                 self._save()
-            if len(rest) > LINE_BYTES:
-                raise ValueError("feed: a line without an end")
+            if len(rest) > MAX_LINE_BYTES:
+                raise ValueError(f"feed: a line exceeds {MAX_LINE_BYTES} bytes")
 
     def _save(self) -> None:
-        """Written beside and renamed: a crash leaves the old list or the new one, never half of one."""
+        """Save the list; the file is replaced atomically, so a crash leaves the old list or the new one."""
         if self.saved_at is None:
             return
         try:
-            replace(self.saved_at, [self.fleet.saved()])
+            replace(self.saved_at, [self.servers.encode()])
         except OSError as error:
             self.log("fleet.list_not_saved", path=str(self.saved_at), reason=str(error))
--- a/tamarindfold/membership/feed.py
+++ b/tamarindfold/membership/feed.py
@@ -1,7 +1,7 @@
-"""The list of servers as a feed pushes it: a full list first, then changes, each one version on.
+"""The server list as published by the feed: a full list first, then changes, each one version later.
 
-Messages are JSON objects, one a line: {"kind": "full" or "changes", "version": n, "servers": [...]}.
-No I/O here; a gap in the versions is an error that only a new full list mends.
+Messages are JSON objects, one per line: {"kind": "full" or "changes", "version": n, "servers": [...]}.
+This module does no I/O. After a gap in the versions only a new full list is accepted.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from tamarindfold.interface import BackendEntry, BackendState, FleetUpdate, ListKind
 
 _STATES = {"ready": BackendState.READY, "draining": BackendState.DRAINING, "gone": BackendState.GONE}
-_Small = Annotated[int, Meta(ge=0, le=65535)]
+_UInt16 = Annotated[int, Meta(ge=0, le=65535)]
 
 
 class ServerLine(Struct, frozen=True):
-    """One server; up_since_ms in milliseconds since the epoch, 0 for long ago."""
+    """One server; up_since_ms is its start in milliseconds since the epoch, 0 if it is long ago."""
 
     address: str
     state: Literal["ready", "draining", "gone"] = "ready"
-    zone: _Small = 0
-    cell: _Small = 0
-    kind: _Small = 0
+    zone: _UInt16 = 0
+    cell: _UInt16 = 0
+    kind: _UInt16 = 0
     size: Annotated[float, Meta(ge=0)] = 1.0
     up_since_ms: Annotated[float, Meta(ge=0)] = 0.0
 
@@ -40,19 +40,19 @@
 
 
 class FeedGap(ValueError):
-    """A message that doesn't follow on what is held: the full list is needed."""
+    """A change whose version does not follow the current one: a full list is needed."""
 
 
-class FleetList:
-    """The list held by one gateway."""
+class ServerList:
+    """One gateway's copy of the list, by address; version -1 means that a full list is needed next."""
 
     def __init__(self) -> None:
         self.version = -1
         self.lines: dict[str, ServerLine] = {}
         self._decoder = msgspec.json.Decoder(FeedMessage)
 
-    def take(self, line: bytes) -> FleetUpdate:
-        """Apply one line of the feed; ValueError (FeedGap among it) leaves the list as it was."""
+    def apply(self, line: bytes) -> FleetUpdate:
+        """Apply one line of the feed; on a ValueError (which includes FeedGap) the list is unchanged."""
         try:
             message = self._decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -60,7 +60,7 @@
         entries = [self._entry(server) for server in message.servers]
         full = message.kind == "full"
         if not full and message.version != self.version + 1:
-            raise FeedGap(f"feed: version {message.version} after {self.version}")
+            raise FeedGap(f"feed: changes of version {message.version} received at version {self.version}")
         if full:
             self.lines = {}
         for server in message.servers:
@@ -71,16 +71,18 @@
         self.version = message.version
         return FleetUpdate(ListKind.FULL if full else ListKind.CHANGES, entries, message.version)
 
-    def saved(self) -> bytes:
-        """The list as one line, for a restart."""
+    def encode(self) -> bytes:
+        """The list as one line of the feed, to be saved for a restart."""
         return msgspec.json.encode(FeedMessage("full", max(0, self.version), list(self.lines.values())))
 
     def restore(self, line: bytes) -> FleetUpdate:
-        """What was saved, as a cached list; the feed must still send a full one first."""
-        update = self.take(line)
+        """Load a saved line as a cached list; the feed must still send a full list first."""
+        update = self.apply(line)
         self.version = -1
         return FleetUpdate(
-            ListKind.CACHED, [e for e in update.entries if e.state is not BackendState.GONE], update.version
+            ListKind.CACHED,
+            [entry for entry in update.entries if entry.state is not BackendState.GONE],
+            update.version,
         )
 
     @staticmethod
--- a/tamarindfold/node/__init__.py
+++ b/tamarindfold/node/__init__.py
@@ -1,1 +1,1 @@
-"""The program that the platform runs as one of its ingresses."""
+"""The ingress program for the operators' platform."""
--- a/tamarindfold/node/__main__.py
+++ b/tamarindfold/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tamarindfold.node`: one ingress on the platform, in the foreground, until SIGTERM."""
+"""`python -m tamarindfold.node`: runs one ingress on the platform in the foreground until SIGTERM."""
 
 from __future__ import annotations
 
@@ -11,49 +11,56 @@
 import gevent
 from gevent.event import Event
 
-from tamarindfold.node.ingress import Node
 from tamarindfold.node.logs import logger
+from tamarindfold.node.server import Node
 from tamarindfold.platform import configuration
 
-VARIABLE = "RELAY_CONFIG"
-YOUNG, MIDDLE, OLD = 20_000, 20, 50  # collections: nearly all dies by reference counts
+CONFIG_VARIABLE = "RELAY_CONFIG"
 
+# garbage collection is infrequent: nearly all objects are freed by reference counting
+GC_THRESHOLD_0 = 20_000
+GC_THRESHOLD_1 = 20
+GC_THRESHOLD_2 = 50
 
-def _reload(path: Path, told: list[Node]) -> None:
-    """Guards against a file that can't be read: all stays as it was. Before there is a node, its own reading
-    of the file is still to come, or nothing yields between that and the node."""
-    if not told:
+
+def _reload(path: Path, nodes: list[Node]) -> None:
+    """Apply the addresses in the changed configuration file; an invalid file changes nothing.
+
+    While there is no node nothing is to be done: either the file has yet to be read for the first time, or
+    the node is created from it without a yield in between.
+    """
+    if not nodes:
         return
-    (node,) = told
+    (node,) = nodes
     try:
         discovery, counter = configuration.addresses(path.read_bytes())
     except (OSError, ValueError) as error:
         node.log("node.configuration_unusable", reason=str(error))
         return
-    node.move(discovery, counter)
+    node.change_addresses(discovery, counter)
 
 
 def main() -> int:
-    """Exit 0 after SIGTERM, 2 with one plain line where the ingress can't be started."""
+    """Return 0 after SIGTERM or SIGINT, 2 after a one-line error message if the ingress can't start."""
     stop = Event()
-    told: list[Node] = []
+    nodes: list[Node] = []
     gevent.signal_handler(signal.SIGTERM, stop.set)
     gevent.signal_handler(signal.SIGINT, stop.set)
-    path = Path(os.environ.get(VARIABLE, ""))
-    gevent.signal_handler(signal.SIGHUP, lambda: _reload(path, told))
+    path = Path(os.environ.get(CONFIG_VARIABLE, ""))
+    gevent.signal_handler(signal.SIGHUP, lambda: _reload(path, nodes))
     try:
-        if not os.environ.get(VARIABLE):
+        if not os.environ.get(CONFIG_VARIABLE):
             raise ValueError("is not set; it names the configuration file")
         config = configuration.read(path.read_bytes())
         node = Node(config, logger(config.name))
-        told.append(node)
+        nodes.append(node)
         node.start(stop)
     except (OSError, ValueError) as error:
-        print(f"tamarindfold.node: {VARIABLE}: {error}", file=sys.stderr)
+        print(f"tamarindfold.node: {CONFIG_VARIABLE}: {error}", file=sys.stderr)
         return 2
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG, MIDDLE, OLD)
+    gc.set_threshold(GC_THRESHOLD_0, GC_THRESHOLD_1, GC_THRESHOLD_2)
     stop.wait()
     node.stop()
     return 0
--- a/tamarindfold/node/wording.py
+++ b/tamarindfold/node/adapters.py
@@ -1,4 +1,4 @@
-"""The platform's words put to the seams of the ingress: answers to clients, attempts at backends."""
+"""Adapters that plug the platform's protocols into the ingress: client responses and backend attempts."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.ingress.exchange import Exchange, Failed, Final, Refused, Served
 from tamarindfold.interface import Outcome, Why
-from tamarindfold.platform import backends, words
+from tamarindfold.platform import backends, responses
 
-_QUOTA = (Why.QUOTA, Why.OPEN)
+_QUOTA_REASONS = (Why.QUOTA, Why.OPEN)
 
 
-class PlatformWords:
-    """Words answers; refusals name a time to come back where the settings allow it."""
+class PlatformResponses:
+    """Encodes responses to clients; refusals carry a retry-after header if the settings allow it."""
 
     def __init__(self, retry_after: bool) -> None:
         self.retry_after = retry_after
 
     def rejected(self, fault: Rejected, name: bytes = b"", keep_alive: bool = False) -> bytes:
-        return words.rejected(fault.status, fault.detail, keep_alive)
+        return responses.rejected(fault.status, fault.detail, keep_alive)
 
     def final(self, answer: Final, name: bytes, keep_alive: bool, no_body: bool = False) -> bytes:
         match answer:
             case Served(_, _, body):
-                return words.served(body, keep_alive)
+                return responses.served(body, keep_alive)
             case Refused(retry_after_ms, why):
-                return words.refused(why in _QUOTA, retry_after_ms if self.retry_after else None, keep_alive)
+                return responses.refused(
+                    why in _QUOTA_REASONS, retry_after_ms if self.retry_after else None, keep_alive
+                )
             case Failed(late):
-                return words.failed(late, keep_alive)
+                return responses.failed(late, keep_alive)
         return b""
 
 
-class Backends:
-    """Words attempts and reads answers; an attempt counts once its last byte was written."""
+class PlatformBackends:
+    """Encodes attempts and interprets answers; an attempt may have run once its last byte was written."""
 
     needs_complete_request = True
 
@@ -44,6 +46,7 @@
         place: Callable[[int], object],
         fields: tuple[str, ...],
     ) -> None:
+        """fields: the names of the load report's values in the order of the settings."""
         self.address, self.process_identity, self.fields = address, place, fields
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
--- a/tamarindfold/node/front.py
+++ b/tamarindfold/node/front.py
@@ -1,4 +1,4 @@
-"""The front for the platform's clients: headers are believed once they are valid."""
+"""The server side for the platform's clients; valid request headers are trusted without authentication."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from tamarindfold.ingress.exchange import Exchange, Refused
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.interface import Why
+from tamarindfold.node.adapters import PlatformResponses
 from tamarindfold.node.limits import Limits
-from tamarindfold.node.wording import PlatformWords
-from tamarindfold.platform import names, words
-from tamarindfold.platform.requests import Admission
+from tamarindfold.platform import responses, wire_names
+from tamarindfold.platform.requests import CallParser
 
-FULL_MS = 100.0  # to those refused because too many requests are open
+OVERLOAD_RETRY_AFTER_MS = 100.0  # for requests refused because too many are open
 
 
 class PlatformFront(Listener):
-    """Serves the platform's clients within a budget of connections."""
+    """Serves the platform's clients within a limited number of connections."""
 
     limits: Limits
 
@@ -33,27 +33,28 @@
         timers: Timers,
         clock: Callable[[], float],
         log: Callable[..., None],
-        why_not_ready: Callable[[], str],
+        not_ready_reason: Callable[[], str],
     ) -> None:
         settings = core.gateway.settings
         super().__init__(
             limits,
             core,
-            PlatformWords(settings.retry_after),
+            PlatformResponses(settings.retry_after),
             timers,
             clock,
             log,
-            limits.connections + limits.ending,
+            limits.connections + limits.eviction_headroom,
         )
-        self.why_not_ready = why_not_ready
-        self.admission = Admission(settings)
+        self.not_ready_reason = not_ready_reason
+        self.parser = CallParser(settings)
         self.connection = PlatformConnection
-        self.silent: dict[ClientConnection, None] = {}  # that have not yet brought a good request
-        self.open_names: set[bytes] = set()
+        # connections without a valid request so far, oldest first
+        self.unproven: dict[ClientConnection, None] = {}
+        self.open_call_ids: set[bytes] = set()
         self.counts |= dict.fromkeys(("evicted", "no_room", "not_kept"), 0)
 
     def serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        """One client connection, if there is room or room can be made."""
+        """Serve one client connection if there is room or another connection can be evicted."""
         if len(self.clients) > self.limits.connections and not self._make_room():
             self.counts["no_room"] += 1
             sock.close()
@@ -61,23 +62,24 @@
         super().serve(sock, address)
 
     @property
-    def known_idle(self) -> int:
-        """Connections that brought good requests and stand idle; silent ones are closed for room."""
-        return len(self.idle) - len(self.silent)
+    def proven_idle(self) -> int:
+        """Number of idle connections that have had a valid request; unproven ones can be evicted instead."""
+        return len(self.idle) - len(self.unproven)
 
     def _make_room(self) -> bool:
-        """Have the oldest connection that brought nothing end, or else the one idle longest.
+        """Evict the oldest unproven connection or, if there is none, the one that has been idle the longest.
 
-        Not one whose request lies on its socket, or is being answered. Its greenlet closes it in this turn of
-        the loop; meanwhile it is beyond the bound (`ending`).
+        A connection with a request on its socket or in progress is never evicted. The evicted connection's
+        own greenlet closes it in this iteration of the event loop; until then it counts towards
+        `eviction_headroom`.
         """
         now = self.clock()
-        known = (
-            c
-            for c, since in self.idle.items()
-            if c not in self.silent and now - since >= self.limits.idle_least_ms
+        proven = (
+            connection
+            for connection, since in self.idle.items()
+            if connection not in self.unproven and now - since >= self.limits.evictable_idle_ms
         )
-        for victim in chain((c for c in self.silent if c in self.reading), known):
+        for victim in chain((c for c in self.unproven if c in self.reading), proven):
             if not victim.late and not victim.unread():
                 self.counts["evicted"] += 1
                 victim.hurry()
@@ -86,73 +88,74 @@
 
 
 class PlatformConnection(ClientConnection):
-    """A connection of the platform's clients: one request at a time."""
+    """One connection of a platform client; requests come one at a time."""
 
     front: PlatformFront
     limits: Limits
 
     def run(self) -> None:
-        self.front.silent[self] = None
+        self.front.unproven[self] = None
         try:
             super().run()
         finally:
-            self.front.silent.pop(self, None)
+            self.front.unproven.pop(self, None)
 
     def phase_ms(self, phase: int) -> float:
-        """A connection's first request has a bound as a whole, or trickling bytes would hold it open."""
+        """Also bounds the total time of the first request, which trickling bytes could otherwise prolong."""
         allowed = super().phase_ms(phase)
         if not self.answered:
-            gone = self.front.clock() - self.accepted_ms
-            allowed = min(allowed, max(0.0, self.limits.first_ms - gone))
+            elapsed_ms = self.front.clock() - self.accepted_ms
+            allowed = min(allowed, max(0.0, self.limits.first_request_timeout_ms - elapsed_ms))
         return allowed
 
     @property
     def keep(self) -> bool:
-        """Who sends the next request before the answer does not keep to the protocol.
+        """Whether the connection stays open after this answer.
 
-        Guards against idle connections that use up what clients may hold: nobody else could ask any more.
+        It is closed if the client sent the next request before the answer, which violates the protocol, and
+        if many connections are idle: they would leave no room for other clients.
         """
-        return super().keep and not self.ahead and self.front.known_idle < self.limits.kept_idle
+        return super().keep and not self.ahead and self.front.proven_idle < self.limits.max_idle_connections
 
     def _enter(self, request: Request, peer: str) -> Exchange | bytes:
         front, limits = self.front, self.limits
-        if request.target == names.READY and request.method == "GET":
-            return words.ready(front.why_not_ready(), self.keep)
+        if request.target == wire_names.READY and request.method == "GET":
+            return responses.ready(front.not_ready_reason(), self.keep)
         if self.reader.ready or self.reader.in_message:
             front.counts["ahead"] += 1
             raise Rejected(400, "requests are sent one at a time")
-        asked = front.admission.read(request)
-        if asked.name in front.open_names:
+        call = front.parser.parse(request)
+        if call.call_id in front.open_call_ids:
             raise Rejected(409, "x-call-id: of a request that is open")
-        front.silent.pop(self, None)
+        front.unproven.pop(self, None)
         if len(front.core.open_exchanges) >= limits.open_requests:
             front.counts["full"] += 1
-            return front.words.final(Refused(FULL_MS, Why.PRESSURE), asked.name, self.keep)
+            return front.words.final(Refused(OVERLOAD_RETRY_AFTER_MS, Why.PRESSURE), call.call_id, self.keep)
         front.core.last_request_number = number = front.core.last_request_number + 1
-        deadline = self.came_ms + asked.time_left_ms
+        deadline = self.came_ms + call.time_left_ms
         return Exchange(
             number,
-            asked.name,
-            asked.cls,
-            asked.customer,
-            asked.plan,
-            asked.units,
-            asked.width,
-            asked.retry,
+            call.call_id,
+            call.cls,
+            call.customer,
+            call.plan,
+            call.units,
+            call.width,
+            call.retry,
             deadline,
             deadline - limits.answer_margin_ms,
             request.method,
             request.target,
             [],
             request.body,
-            first_gateway=asked.first,
+            first_gateway=call.first,
         )
 
     def _decided(self, exchange: Exchange) -> bytes:
-        open_names = self.front.open_names
-        open_names.add(exchange.name)
+        open_call_ids = self.front.open_call_ids
+        open_call_ids.add(exchange.name)
         try:
             return super()._decided(exchange)
         finally:
-            open_names.discard(exchange.name)
-            self.front.counts["not_kept"] += self.front.known_idle >= self.limits.kept_idle
+            open_call_ids.discard(exchange.name)
+            self.front.counts["not_kept"] += self.front.proven_idle >= self.limits.max_idle_connections
--- a/tamarindfold/node/limits.py
+++ b/tamarindfold/node/limits.py
@@ -1,55 +1,56 @@
-"""Bounds for safety of an ingress on the platform; none of them decides which requests are served."""
+"""Resource limits of an ingress on the platform; they protect the process and don't decide what is served."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RESERVE = 40  # descriptors for the listener, discovery, counter, the loop, and connections just closing
-ANSWERS_PART = 0.15  # of the memory; as much again may wait for clients that read slowly
-KEPT_PART = 1 / 6  # of all, for idle connections of clients: half of what usual clients may hold
-CLIENT_PART = 0.55  # of the rest; usual clients hold a third of all at the most
+RESERVED_DESCRIPTORS = 40  # for the listener, discovery, counter, event loop and connections being closed
+ANSWER_MEMORY_SHARE = 0.15  # of all memory; as much again may be buffered for clients that read slowly
+IDLE_CLIENTS_SHARE = 1 / 6  # of all descriptors; well-behaved clients hold at most a third of them
+CLIENT_SHARE = 0.55  # of the descriptors that are not reserved
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     """Sizes in bytes, times in milliseconds."""
 
-    connections: int  # of clients
+    connections: int  # from clients
     backend_connections: int
     open_requests: int
-    answers_bytes: int  # of all answers that are being read
+    total_answer_bytes: int  # of all answers being read
     header_bytes: int = 16_384
     header_count: int = 64
     header_timeout_ms: float = 2_000
     body_bytes: int = 65_536
     body_timeout_ms: float = 2_000
-    ahead_bytes: int = 0  # what comes before the answer ends the connection, so none of it is kept
+    ahead_bytes: int = 0  # a request sent before the previous answer closes the connection, so none is kept
     idle_timeout_ms: float = 20_000
-    idle_least_ms: float = 2_000  # where room is short, a connection idle for so long is closed
-    first_ms: float = 2_000  # a new connection's whole first request has come by then
+    evictable_idle_ms: float = 2_000  # connections idle for this long are closed when there is no room
+    first_request_timeout_ms: float = 2_000  # from accept to the end of the connection's first request
     write_timeout_ms: float = 2_000
     answer_margin_ms: float = 20
-    answer_bytes: int = 1 << 20  # the protocol says 64 KiB; answers of 320 KB were seen
-    kept_trust_ms: float = 2_000  # none broke for so long: kept connections serve what must not run twice
-    pending_counts: int = 512
+    answer_bytes: int = 1 << 20  # the protocol says 64 KiB, but answers of 320 KB occur
+    # kept connections carry non-idempotent requests only if none of them broke within this time
+    reuse_after_break_ms: float = 2_000
+    max_pending_counts: int = 512
     counter_reconnect_ms: float = 20
-    counter_keep_ms: float = 2_500  # the counter closes what stood idle for 10 s, or less
-    ending: int = 8  # client connections beyond the bound while those chosen to make room close
-    stall_ms: float = 300
-    timer_slot_ms: float = 10  # the wheel turns a hundred times a second while a time-out is set
-    counts_every_ms: float = 10_000
-    kept_idle: int = 64  # with so many idle connections of clients, an answer ends its own
-    first_list_ms: float = 1_500  # at start: so long the news since the list at hand is awaited
-
-
-def budget(sockets: int, memory_mb: float, open_cap: int) -> Limits:
-    """One budget of descriptors, shared between clients and backends; a part of the memory for answers."""
-    free = sockets - RESERVE
-    clients = int(free * CLIENT_PART)
+    counter_keepalive_ms: float = 2_500  # the counter's idle time-out is 10 s or less
+    eviction_headroom: int = 8  # connections beyond the limit while evicted ones are being closed
+    stall_ms: float = 300  # a longer gap between iterations of the event loop counts as a stall
+    timer_slot_ms: float = 10  # the timer wheel advances every 10 ms while a timer is set
+    counts_interval_ms: float = 10_000
+    max_idle_connections: int = 64  # at this number of idle client connections, answers close their own
+    first_list_timeout_ms: float = 1_500  # wait at start for the changes since the initial list
+
+
+def allocate_limits(sockets: int, memory_mb: float, open_cap: int) -> Limits:
+    """Divide the descriptors between clients and backends, and allot a share of the memory to answers."""
+    available = sockets - RESERVED_DESCRIPTORS
+    clients = int(available * CLIENT_SHARE)
     return Limits(
         clients,
-        free - clients,
+        available - clients,
         min(clients, open_cap),
-        int(memory_mb * 1e6 * ANSWERS_PART),
-        kept_idle=int(sockets * KEPT_PART),
+        int(memory_mb * 1e6 * ANSWER_MEMORY_SHARE),
+        max_idle_connections=int(sockets * IDLE_CLIENTS_SHARE),
     )
--- a/tamarindfold/node/logs.py
+++ b/tamarindfold/node/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of an ingress on the platform: one JSON object a line on standard error, few of them."""
+"""Log of an ingress on the platform: one JSON object per line on standard error."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def logger(name: str) -> Callable[..., None]:
-    """A function of an event's name and its fields; structlog would cost start-up time and memory."""
+    """A function that logs an event with its fields; structlog would cost start-up time and memory."""
     encode = msgspec.json.Encoder(enc_hook=str).encode
 
     def log(event: str, **fields: object) -> None:
--- a/tamarindfold/node/ingress.py
+++ b/tamarindfold/node/server.py
@@ -1,4 +1,4 @@
-"""One ingress on the platform put together: started, moved to other addresses, stopped."""
+"""Assembles one ingress on the platform and starts, reconfigures and stops it."""
 
 from __future__ import annotations
 
@@ -18,30 +18,33 @@
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.ingress.upstream import Upstream
 from tamarindfold.interface import ListKind
-from tamarindfold.node.discovery import Watch
+from tamarindfold.node.adapters import PlatformBackends
+from tamarindfold.node.discovery import DiscoveryWatch
 from tamarindfold.node.front import PlatformFront
-from tamarindfold.node.limits import budget
-from tamarindfold.node.wording import Backends
+from tamarindfold.node.limits import allocate_limits
 from tamarindfold.platform.configuration import Address, Configuration
 from tamarindfold.platform.counter import AddGet
-from tamarindfold.platform.registry import AddressBook
+from tamarindfold.platform.registry import BackendDirectory
 
 BACKLOG = 1024
-FEEL_S, TIDY_EVERY, SLEW_EVERY = 0.05, 20, 20  # the beat, and beats between chores
-KEPT_S, COME_S = 0.45, 0.7  # after SIGTERM: idle connections stay so long, and new ones are taken so long
-STOP_S = 30.0  # a stopping ingress waits no longer than this for what it holds
+BEAT_INTERVAL_S = 0.05
+TIDY_BEATS = 20  # beats between two clean-ups of the connection pool
+SLEW_BEATS = 20  # beats between two clock corrections
+IDLE_CLOSE_DELAY_S = 0.45  # after SIGTERM: from then on idle connections are closed
+LISTEN_DELAY_S = 0.7  # after SIGTERM: until then new connections are accepted
+DRAIN_TIMEOUT_S = 30.0  # longest wait for open connections when the ingress stops
 
 
 class Node:
-    """A running ingress."""
+    """One ingress: the front for clients, the policy, and links to backends, discovery and the counter."""
 
     def __init__(self, config: Configuration, log: Callable[..., None]) -> None:
         self.config, self.log = config, log
         self.steady = SteadyClock()
         clock, settings = self.steady.now, config.settings
-        self.limits = limits = budget(config.sockets, config.memory_mb, config.open_cap)
+        self.limits = limits = allocate_limits(config.sockets, config.memory_mb, config.open_cap)
         self.core = Core(Gateway(settings, config.seed), clock, log, limits.stall_ms)
-        self.book = AddressBook(config.zones, config.kinds)
+        self.directory = BackendDirectory(config.zones, config.kinds)
         self.pool = Pool(
             config.conn_idle_ms / 2,
             limits.backend_connections,
@@ -57,115 +60,123 @@
             self.core,
             self.pool,
             self.timers,
-            Backends(self.book.address, self.book.entries.get, settings.report_fields),
+            PlatformBackends(self.directory.address, self.directory.entries.get, settings.report_fields),
             clock,
-            limits.kept_trust_ms,
-            limits.answers_bytes,
+            limits.reuse_after_break_ms,
+            limits.total_answer_bytes,
         )
-        self.front = PlatformFront(limits, self.core, self.timers, clock, log, self.why_not_ready)
-        self.watch = Watch(
-            config.discovery, lambda: self.book.generation, self._told, log, settings.drain_grace_ms
+        self.front = PlatformFront(limits, self.core, self.timers, clock, log, self.not_ready_reason)
+        self.watch = DiscoveryWatch(
+            config.discovery,
+            lambda: self.directory.generation,
+            self._apply_list,
+            log,
+            settings.drain_grace_ms,
         )
-        self.counter_at = config.counter
+        self.counter_address = config.counter
         self.counter: Counter | None = None
         self.listener: StreamServer | None = None
-        self.chores: list[gevent.Greenlet] = []
+        self.greenlets: list[gevent.Greenlet] = []
 
-    def why_not_ready(self) -> str:
-        """Why requests can't be decided now; empty where they can."""
+    def not_ready_reason(self) -> str:
+        """Why requests can't be served now; empty if they can."""
         return "" if self.core.fleet else "no list of backends yet"
 
     def start(self, stop: Event | None = None) -> None:
-        """Open the sockets; OSError where the address can't be had, ValueError for a bad list.
+        """Connect to discovery and the counter, wait for the first list, then listen for clients.
 
-        It yields: `move` may come meanwhile, and is heeded; where `stop` is set by then nothing is taken.
+        OSError if the address can't be bound, ValueError if the initial list is invalid. This method yields:
+        `change_addresses` may be called meanwhile. If `stop` is set by then, it returns without listening.
         """
         config, limits = self.config, self.limits
-        if config.known:
-            self._told(config.known, ListKind.CACHED)
+        if config.initial_list:
+            self._apply_list(config.initial_list, ListKind.CACHED)
         self.watch.start()
-        if self.counter_at is not None and config.settings.counter:
+        if self.counter_address is not None and config.settings.counter:
             self.counter = Counter(
-                [self.counter_at],
+                [self.counter_address],
                 config.settings.counter_timeout_ms,
-                limits.pending_counts,
+                limits.max_pending_counts,
                 AddGet(),
                 limits.counter_reconnect_ms,
                 self.steady.now,
                 self.core.on_count_answered,
                 self.log,
-                limits.counter_keep_ms,
+                limits.counter_keepalive_ms,
             )
             self.core.send_count = self.counter.call
-        # Guards against sends by a list from before a restart: clients come as soon as this listens.
-        self.watch.follower.first(limits.first_list_ms, self.log, stop, generation=self.book.generation)
+        # Clients connect as soon as this listens, and their requests must not be routed by an outdated list.
+        self.watch.subscription.wait_for_first_message(
+            limits.first_list_timeout_ms, self.log, stop, generation=self.directory.generation
+        )
         if stop is not None and stop.is_set():
             return
         self.listener = StreamServer(
             config.listen, self.front.serve, backlog=BACKLOG, spawn=self.front.clients
         )
-        self.listener.max_accept = limits.ending  # few: room is made before more descriptors are taken
+        self.listener.max_accept = limits.eviction_headroom  # evict before accepting more
         self.listener.init_socket()
         enable_arrival_timestamps(self.listener.socket)
         self.listener.start()
-        self.chores = [gevent.spawn(self._beat), gevent.spawn(self._tell_counts)]
+        self.greenlets = [gevent.spawn(self._beat), gevent.spawn(self._log_counts)]
         self.log("node.listening", clients=limits.connections, backends=limits.backend_connections)
 
-    def move(self, discovery: Address, counter: Address | None) -> None:
-        """Discovery and counter are elsewhere from now on."""
-        self.watch.move(discovery)
-        self.counter_at = counter
+    def change_addresses(self, discovery: Address, counter: Address | None) -> None:
+        """Reach discovery and the counter at other addresses from now on."""
+        self.watch.change_address(discovery)
+        self.counter_address = counter
         if self.counter is not None and counter is not None:
-            self.counter.move([counter])
+            self.counter.change_addresses([counter])
         self.log("node.moved", discovery=discovery, counter=counter)
 
     def stop(self) -> None:
-        """Answer what comes while clients still come and all that was taken, then close.
+        """Serve clients for a moment longer, answer all requests that were received, then close.
 
-        In this order: each answer ends its connection; idle connections that had an answer end; every one
-        looks at its socket once more and what waits in the accept queue is taken (`Listener.stop`); what
-        was taken is answered. All that was accepted counts, so the process never ends before it.
+        First, each answer closes its connection. Then idle connections that have had an answer are closed.
+        Then `Listener.stop` reads each remaining connection's socket once more and accepts what is in the
+        accept queue. Finally the open requests are answered. Connections count from accept on, so the
+        process waits for all of them.
         """
         if self.listener is not None:
             self.front.stopping = True
-            gevent.sleep(KEPT_S)
+            gevent.sleep(IDLE_CLOSE_DELAY_S)
             self.front.end_idle()
-            gevent.sleep(COME_S - KEPT_S)
+            gevent.sleep(LISTEN_DELAY_S - IDLE_CLOSE_DELAY_S)
             self.front.stop(self.listener)
-            self.front.clients.join(STOP_S)
+            self.front.clients.join(DRAIN_TIMEOUT_S)
         self.log("node.stopped", **self.counts())
-        gevent.killall(self.chores)
+        gevent.killall(self.greenlets)
         self.watch.stop()
         if self.counter is not None:
             self.counter.stop()
         self.timers.stop()
 
-    def _told(self, line: bytes, kind: ListKind = ListKind.FULL) -> None:
-        """A line of the list, for the module; connections to what moved or restarted are of no use."""
-        update, moved = self.book.take(line, kind)
+    def _apply_list(self, line: bytes, kind: ListKind = ListKind.FULL) -> None:
+        """Apply a line of the list; connections to backends that left, moved or restarted are dropped."""
+        update, moved = self.directory.apply(line, kind)
         for number in moved:
             self.pool.drop_idle(number)
         self.core.update_fleet(update)
 
     def _beat(self) -> None:
-        """Notes that the loop turns; tidies now and then."""
+        """Tell the core that the event loop runs, tidy the pool and correct the clock at intervals."""
         beats = 0
         while True:
-            gevent.sleep(FEEL_S)
+            gevent.sleep(BEAT_INTERVAL_S)
             self.core.on_loop_turn()
             beats += 1
-            if not beats % TIDY_EVERY:
+            if not beats % TIDY_BEATS:
                 self.pool.prune_idle(self.core.fleet.__contains__)
-            if not beats % SLEW_EVERY:
+            if not beats % SLEW_BEATS:
                 self.steady.slew()
 
-    def _tell_counts(self) -> None:
+    def _log_counts(self) -> None:
         while True:
-            gevent.sleep(self.limits.counts_every_ms / 1000)
+            gevent.sleep(self.limits.counts_interval_ms / 1000)
             self.log("node.counts", **self.counts())
 
     def counts(self) -> dict[str, Any]:
-        """All counters, and the sizes of all that could grow."""
+        """All counters, and the sizes of all tables that could grow."""
         gateway, front = self.core.gateway, self.front
         pipeline = self.counter.parts[0].pipeline if self.counter is not None else None
         return {
@@ -175,8 +186,8 @@
             "connections": self.pool.counts,
             "watch": self.watch.counts,
             "counter": {
-                "turned_away": pipeline.turned_away,
-                "dropped": pipeline.dropped,
+                "turned_away": pipeline.rejected,
+                "dropped": pipeline.late_replies,
                 "out": len(pipeline.calls),
             }
             if pipeline is not None
@@ -184,14 +195,14 @@
             "sizes": {
                 "clients": len(front.clients),
                 "idle": len(front.idle),
-                "silent": len(front.silent),
+                "silent": len(front.unproven),
                 "held": front.held,
                 "open": len(self.core.open_exchanges),
                 "withdrawn": len(self.core.withdrawn),
                 "backends": len(self.core.fleet),
                 "to_backends": self.pool.total_open,
                 "answers_peak": self.upstream.peak_held_bytes,
-                "book": len(self.book.entries),
+                "book": len(self.directory.entries),
                 "customers": len(gateway.customers),
                 "calls": len(gateway.calls),
                 "counts": len(gateway.counts),
--- a/tamarindfold/platform/__init__.py
+++ b/tamarindfold/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol without I/O: configuration, requests, answers, backends, registry, counter."""
+"""The platform's protocols without I/O: configuration, requests, responses, backends, registry, counter."""
--- a/tamarindfold/platform/backends.py
+++ b/tamarindfold/platform/backends.py
@@ -1,4 +1,4 @@
-"""What is spoken with the platform's backends: attempts worded, answers told apart; no I/O."""
+"""The protocol between an ingress and the platform's backends: attempts, answers, load reports; no I/O."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 from tamarindfold.http1.number_pairs import parse_number_pairs
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.interface import Outcome
-from tamarindfold.platform import names
+from tamarindfold.platform import wire_names
 
 
-def attempt(method: str, target: bytes, name: bytes, body: bytes, left_ms: float) -> bytes:
-    """An attempt's bytes; left_ms: how long its answer will be waited for."""
-    own = ((names.CALL_ID, name), (names.BUDGET, b"%.3f" % (left_ms / 1000)))
-    return write.request(method, target, names.HOST, own, body)
+def attempt(method: str, target: bytes, call_id: bytes, body: bytes, left_ms: float) -> bytes:
+    """Encode an attempt; left_ms is the time for which its answer will be awaited."""
+    headers = ((wire_names.CALL_ID, call_id), (wire_names.BUDGET, b"%.3f" % (left_ms / 1000)))
+    return write.request(method, target, wire_names.HOST, headers, body)
 
 
 def outcome(reader: ResponseReader) -> Outcome:
-    """What a whole answer means."""
+    """The outcome that a complete answer stands for."""
     if reader.status == 200:
         return Outcome.OK
-    turned_away = reader.status in (503, 504) and reader.get(names.REJECTED) == b"1"
-    return Outcome.FULL if turned_away else Outcome.ERROR
+    rejected = reader.status in (503, 504) and reader.get(wire_names.REJECTED) == b"1"
+    return Outcome.FULL if rejected else Outcome.ERROR
 
 
 def report(reader: ResponseReader, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report in the settings' order; none where it can't be read."""
-    return parse_number_pairs(reader.get(names.LOAD_REPORT), fields) if fields else ()
+    """The load report's values in the order of `fields`; empty if the report is missing or invalid."""
+    return parse_number_pairs(reader.get(wire_names.LOAD_REPORT), fields) if fields else ()
--- a/tamarindfold/platform/configuration.py
+++ b/tamarindfold/platform/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration that an ingress finds on its machine: JSON to checked values.
+"""Reads and validates the JSON configuration of an ingress on the platform.
 
-The settings in it have the simulator's names and units, so one function reads both.
+Its settings have the simulator's names and units, so the simulator's reader (bench.settings) reads them.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
 from tamarindfold.interface import Settings
 
 Address = tuple[str, int]
-LEAST_SOCKETS, LEAST_MEMORY_MB = 128, 32
+MIN_SOCKETS = 128
+MIN_MEMORY_MB = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """What one ingress is told. Times in milliseconds."""
+    """The configuration of one ingress; times in milliseconds."""
 
     name: str
     listen: Address
@@ -29,7 +30,7 @@
     seed: int
     sockets: int
     memory_mb: float
-    known: bytes  # the list of backends in the registry's form
+    initial_list: bytes  # the backends known at start, as a line of the registry; empty: none
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -39,7 +40,7 @@
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested JSON as the settings' paths; ValueError where something in it can't be a setting."""
+    """Turn nested JSON into dotted settings paths; list elements are numbered or joined by commas."""
     if isinstance(value, dict):
         found: dict[str, str] = {}
         for key, inner in value.items():
@@ -47,8 +48,8 @@
         return found
     if isinstance(value, list):
         if not any(isinstance(item, dict | list) for item in value):
-            plain = ",".join(text for item in value for text in flatten(item, "x").values())
-            return {path: plain} | ({} if value else {f"{path}.count": "0"})
+            joined = ",".join(text for item in value for text in flatten(item, "x").values())
+            return {path: joined} | ({} if value else {f"{path}.count": "0"})
         found = {f"{path}.count": str(len(value))}
         for i, inner in enumerate(value):
             found |= flatten(inner, f"{path}.{i}")
@@ -60,20 +61,22 @@
     return {path: str(value)}
 
 
-def _member(data: dict[str, Any], key: str, kind: type) -> Any:
+def _member(data: dict[str, Any], key: str, expected: type) -> Any:
     value = data.get(key)
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise ValueError(f"{key}: {'missing' if value is None else f'{value!r:.60} is no {kind.__name__}'}")
+    if not isinstance(value, expected) or isinstance(value, bool):
+        raise ValueError(
+            f"{key}: {'missing' if value is None else f'{value!r:.60} is not of type {expected.__name__}'}"
+        )
     return value
 
 
 def addresses(text: bytes) -> tuple[Address, Address | None]:
-    """Discovery and counter alone, for a configuration that was replaced; ValueError."""
+    """The addresses of discovery and counter in a changed configuration; ValueError if it is invalid."""
     return _addresses(_decode(text))
 
 
 def _names(settings: dict[str, Any], key: str) -> tuple[str, ...]:
-    """A list of names as it stands: flattened, a comma within one would part it."""
+    """A list of names, read before flattening, which would split a name that contains a comma."""
     value = settings.get(key)
     return tuple(map(str, value)) if isinstance(value, list) else tuple(str(value or "").split(","))
 
@@ -97,20 +100,20 @@
 
 
 def read(text: bytes) -> Configuration:
-    """The configuration; ValueError names what is missing or malformed. Unknown keys are ignored."""
+    """Parse the configuration; ValueError names the missing or malformed key. Unknown keys are ignored."""
     data = _decode(text)
     seed = data.get("seed", "0")
     try:
         number = seed if isinstance(seed, int) else int(str(seed), 16)
     except ValueError:
-        raise ValueError(f"seed: {seed!r:.60} is no hexadecimal number") from None
+        raise ValueError(f"seed: {seed!r:.60} is not a hexadecimal number") from None
     limits = _member(data, "limits", dict)
     sockets = _member(limits, "sockets", int)
-    memory_mb = limits.get("memory_mb", LEAST_MEMORY_MB)
-    if not isinstance(memory_mb, int | float) or not memory_mb >= LEAST_MEMORY_MB:
-        raise ValueError(f"limits.memory_mb: {memory_mb!r:.60} is not a number of at least {LEAST_MEMORY_MB}")
-    if sockets < LEAST_SOCKETS:
-        raise ValueError(f"limits.sockets: {sockets} is below {LEAST_SOCKETS}")
+    memory_mb = limits.get("memory_mb", MIN_MEMORY_MB)
+    if not isinstance(memory_mb, int | float) or not memory_mb >= MIN_MEMORY_MB:
+        raise ValueError(f"limits.memory_mb: {memory_mb!r:.60} is not a number of at least {MIN_MEMORY_MB}")
+    if sockets < MIN_SOCKETS:
+        raise ValueError(f"limits.sockets: {sockets} is below {MIN_SOCKETS}")
     settings = _member(data, "settings", dict)
     reader = Reader(flatten(settings))
     discovery, counter = _addresses(data)
@@ -122,7 +125,7 @@
         seed=number,
         sockets=sockets,
         memory_mb=memory_mb,
-        known=msgspec.json.encode(data["known"]) if data.get("known") else b"",
+        initial_list=msgspec.json.encode(data["known"]) if data.get("known") else b"",
         settings=read_settings(reader),
         zones=_names(settings, "zones"),
         kinds=_names(settings, "machine_types"),
--- a/tamarindfold/platform/registry.py
+++ b/tamarindfold/platform/registry.py
@@ -1,4 +1,4 @@
-"""The platform's list of backends: lines to what the module is told, ids to numbers and addresses; no I/O."""
+"""The platform's registry of backends: parses its lines, maps ids to numbers and addresses; no I/O."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tamarindfold.config.addresses import split_address
 from tamarindfold.interface import BackendEntry, BackendState, FleetUpdate, ListKind
 
-LINE_BYTES = 4 << 20
+MAX_OBJECT_BYTES = 4 << 20
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 _STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
 
 
 class _Instance(Struct, frozen=True):
-    """One entry; times in milliseconds since the epoch, 0 for long ago."""
+    """One backend; startedAtMs is in milliseconds since the epoch, 0 if it is long ago."""
 
     instanceId: Annotated[str, Meta(min_length=1, max_length=256)]
     hostPort: str = ""
@@ -33,79 +33,85 @@
 
 
 class _Line(Struct, frozen=True):
-    """The whole list, or what changed since the line before."""
+    """The whole list (reset), or the changes since the previous line."""
 
     generation: int
     instances: list[_Instance]
     reset: bool = False
 
 
-def _place(names: tuple[str, ...], value: str | int) -> int:
-    """The place of a name in the settings; one that they don't have stands behind them all."""
+def _position(names: tuple[str, ...], value: str | int) -> int:
+    """The index of a name in the settings; an unknown name gets the index behind the last one."""
     if isinstance(value, int):
         return value
     return names.index(value) if value in names else len(names)
 
 
-class AddressBook:
-    """The backends by their numbers: the same number for an id at every ingress."""
+class BackendDirectory:
+    """The backends of the registry by number; an id has the same number at every ingress."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones, self.kinds, self.generation = zones, kinds, 0
         self.numbers: dict[str, int] = {}
-        self.entries: dict[int, tuple[str, tuple[str, int], float]] = {}  # id, address, start
+        self.entries: dict[int, tuple[str, tuple[str, int], float]] = {}  # id, address, start time
         self._decoder = msgspec.json.Decoder(_Line)
 
     def address(self, number: int) -> tuple[str, int] | None:
-        """Where a backend is reached."""
+        """The address of a backend; None if it is not in the directory."""
         known = self.entries.get(number)
         return known[1] if known is not None else None
 
-    def take(self, line: bytes, kind: ListKind = ListKind.FULL) -> tuple[FleetUpdate, list[int]]:
-        """What a line says, and the numbers that are not reached any more where they were; ValueError leaves
-        the book as it was. kind: how a whole list counts."""
+    def apply(self, line: bytes, kind: ListKind = ListKind.FULL) -> tuple[FleetUpdate, list[int]]:
+        """Apply one line of the registry.
+
+        Returns the update and the numbers of backends whose old connections are of no use: they left, moved
+        or restarted. `kind` is the update's kind if the line holds the whole list. On a ValueError the
+        directory is unchanged.
+        """
         try:
-            told = self._decoder.decode(line)
+            message = self._decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise ValueError(f"registry: {error}") from None
-        read = [
+        parsed = [
             (
-                one,
-                _STATES.get(one.lifecycle, BackendState.DRAINING),
-                split_address(one.hostPort, "registry: hostPort") if one.lifecycle != "left" else ("", 0),
+                instance,
+                _STATES.get(instance.lifecycle, BackendState.DRAINING),
+                split_address(instance.hostPort, "registry: hostPort")
+                if instance.lifecycle != "left"
+                else ("", 0),
             )
-            for one in told.instances
+            for instance in message.instances
         ]
         entries, moved = [], []
-        if told.reset:
-            named = {one.instanceId for one, *_ in read}
-            moved += [self._forget(name) for name in [n for n in self.numbers if n not in named]]
-        for one, state, address in read:
-            if state is BackendState.GONE and one.instanceId not in self.numbers:
-                continue  # nothing is known of it
-            number = self._number(one.instanceId)
-            now = (one.instanceId, address, one.startedAtMs)
-            if self.entries.get(number, now) != now and state is not BackendState.GONE:
+        if message.reset:
+            listed = {instance.instanceId for instance, *_ in parsed}
+            moved += [self._remove(name) for name in [n for n in self.numbers if n not in listed]]
+        for instance, state, address in parsed:
+            if state is BackendState.GONE and instance.instanceId not in self.numbers:
+                continue  # it is not in the directory
+            number = self._number(instance.instanceId)
+            current = (instance.instanceId, address, instance.startedAtMs)
+            if self.entries.get(number, current) != current and state is not BackendState.GONE:
                 moved.append(number)
-            self.entries[number] = now
+            self.entries[number] = current
             if state is BackendState.GONE:
-                moved.append(self._forget(one.instanceId))
+                moved.append(self._remove(instance.instanceId))
             entries.append(
                 BackendEntry(
                     number,
                     state,
-                    _place(self.zones, one.zone),
-                    _place(self.kinds, one.machineType),
-                    one.cell,
-                    one.weight,
-                    one.startedAtMs,
+                    _position(self.zones, instance.zone),
+                    _position(self.kinds, instance.machineType),
+                    instance.cell,
+                    instance.weight,
+                    instance.startedAtMs,
                 )
             )
-        self.generation = told.generation
-        return FleetUpdate(kind if told.reset else ListKind.CHANGES, entries, told.generation), moved
+        self.generation = message.generation
+        return FleetUpdate(kind if message.reset else ListKind.CHANGES, entries, message.generation), moved
 
     def _number(self, name: str) -> int:
-        """A stable hash of the id; should two meet, the later one takes the next number."""
+        """The number of an id: a hash of it or, if another id has that number already, the next free one."""
         number = self.numbers.get(name)
         if number is None:
             number = int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
@@ -114,59 +120,61 @@
             self.numbers[name] = number
         return number
 
-    def _forget(self, name: str) -> int:
+    def _remove(self, name: str) -> int:
         number = self.numbers.pop(name)
         self.entries.pop(number, None)
         return number
 
 
 class WatchReader:
-    """The objects of a watch from the bytes of its answer; an empty line between them is only a sign of life.
+    """Splits the response to a watch request into JSON objects; empty lines between them are heartbeats.
 
-    An object may stand on one line or, indented, on several: it is whole where its brackets are closed.
-    `signs` counts whole objects and empty lines: bytes that come to neither are no sign of life.
+    An object may be on one line or be indented over several: it is complete when its brackets are closed.
+    `heartbeats` counts complete objects and empty lines; bytes that complete neither don't count.
     """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._pieces: list[bytes] = []  # of a line that has not ended
-        self._begun: list[bytes] = []  # the lines of an object that is not whole yet
-        self._size = self._depth = self.signs = 0  # bytes since an object was whole; open brackets; signs
-        self._lines: list[bytes] = []
+        self._object_lines: list[bytes] = []  # of an object that is not complete
+        self._size = 0  # bytes since the last complete object
+        self._depth = 0  # open brackets
+        self.heartbeats = 0
+        self._objects: list[bytes] = []
         self.ended = False
 
     def feed(self, data: bytes) -> Iterable[bytes]:
-        """The objects that are whole now; ValueError where the answer is no watch."""
+        """Add bytes and return the objects they complete; ValueError if the response is invalid."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             raise ValueError(f"registry: {error}") from None
-        if self._size > LINE_BYTES:
-            raise ValueError("registry: an object without an end")
-        lines, self._lines = self._lines, []
-        return lines
+        if self._size > MAX_OBJECT_BYTES:
+            raise ValueError(f"registry: no object ends within {MAX_OBJECT_BYTES} bytes")
+        objects, self._objects = self._objects, []
+        return objects
 
     def _line(self, line: bytes) -> None:
         if not line.strip():
-            self.signs += not self._begun
+            self.heartbeats += not self._object_lines
             return
-        bare = _STRING.sub(b"", line)
-        self._depth += sum(map(bare.count, b"{[")) - sum(map(bare.count, b"}]"))
-        self._begun.append(line)
+        without_strings = _STRING.sub(b"", line)
+        self._depth += sum(map(without_strings.count, b"{[")) - sum(map(without_strings.count, b"}]"))
+        self._object_lines.append(line)
         if self._depth <= 0:
-            self._lines.append(b"\n".join(self._begun))
-            self._begun, self._size, self._depth = [], 0, 0
-            self.signs += 1
+            self._objects.append(b"\n".join(self._object_lines))
+            self._object_lines, self._size, self._depth = [], 0, 0
+            self.heartbeats += 1
 
-    # ---- called by the parser
+    # ---- callbacks of the parser
 
     def on_headers_complete(self) -> None:
         if (status := self._parser.get_status_code()) != 200:
-            raise ValueError(f"registry: status {status}")
+            raise ValueError(f"registry: the watch was answered with status {status}")
 
     def on_body(self, part: bytes) -> None:
         self._size += len(part)
-        if b"\n" not in part:  # pieces of a line are joined once, when it ends
+        if b"\n" not in part:  # the pieces of a line are joined once, when it ends
             self._pieces.append(part)
             return
         *lines, rest = b"".join((*self._pieces, part)).split(b"\n")
--- a/tamarindfold/platform/names.py
+++ b/tamarindfold/platform/wire_names.py
@@ -1,6 +1,6 @@
-"""The platform's names on the sockets; nowhere else in the project are these words used."""
+"""Header names, query keys and paths of the platform's protocols; no other module spells them out."""
 
-# client to ingress
+# headers from client to ingress
 CALL_ID = b"x-call-id"
 CALL_CLASS = b"x-call-class"
 CONTRACT = b"x-contract"
@@ -9,7 +9,7 @@
 AGAIN = b"x-again"
 KEY = b"key"  # in the query
 
-# backend to ingress
+# headers from backend to ingress
 REJECTED = b"x-rejected"
 LOAD_REPORT = b"x-load-report"
 
--- a/tamarindfold/standins/platform.py
+++ b/tamarindfold/standins/platform.py
@@ -12,7 +12,7 @@
 
 from tamarindfold.http1 import write
 from tamarindfold.http1.requests import Request
-from tamarindfold.platform import names
+from tamarindfold.platform import wire_names
 from tamarindfold.standins.base import Fault, Standin, open_ledger, reset, serve_http
 from tamarindfold.standins.counter import CounterServer
 
@@ -69,7 +69,7 @@
         serve_http(sock, self.clock, self._answer)
 
     def _answer(self, sock: socket.socket, request: Request, first: float) -> None:
-        call = request.get(names.CALL_ID)
+        call = request.get(wire_names.CALL_ID)
         if call is None:
             sock.sendall(write.response(404, ()))
             return
@@ -80,7 +80,7 @@
             method=request.method,
             target=request.target.decode(),
             body=request.body.decode("latin-1"),
-            budget=(request.get(names.BUDGET) or b"").decode(),
+            budget=(request.get(wire_names.BUDGET) or b"").decode(),
         )
         if self.config.work_ms:
             gevent.sleep(self.config.work_ms / 1000)
@@ -91,7 +91,7 @@
         self._faults(sock, request)
         body = self.config.body.encode() or call
         report = b"queue=what" if self.fault("bad_report") is not None else b"queue=2,inflight=7"
-        answer = write.response(200, ((names.LOAD_REPORT, report),), body)
+        answer = write.response(200, ((wire_names.LOAD_REPORT, report),), body)
         if self.fault("interim") is not None:
             answer = b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + answer
         sock.sendall(answer + (answer if self.fault("extra") is not None else b""))
@@ -101,7 +101,7 @@
         if self.fault("error") is not None:
             sock.sendall(write.response(500, ()))
         elif self.fault("turn_away") is not None:
-            sock.sendall(write.response(503, ((names.REJECTED, b"1"),)))
+            sock.sendall(write.response(503, ((wire_names.REJECTED, b"1"),)))
         elif self.fault("reset") is not None:
             reset(sock)
         elif self.fault("silent") is not None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 
 import pytest
 from rig import Rig, start
-from world import World
+from testbed import PlatformTestbed
 
 
 @pytest.fixture
@@ -23,12 +23,12 @@
 
 
 @pytest.fixture
-def world() -> Iterator[Any]:
+def start_testbed() -> Iterator[Any]:
     """A factory of platform ingresses with their surroundings, which are stopped when the test ends."""
-    worlds: list[World] = []
+    worlds: list[PlatformTestbed] = []
 
-    def make(*args: Any, start: bool = True, **options: Any) -> World:
-        worlds.append(World(*args, **options))
+    def make(*args: Any, start: bool = True, **options: Any) -> PlatformTestbed:
+        worlds.append(PlatformTestbed(*args, **options))
         if start:
             worlds[-1].run()
         return worlds[-1]
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""Which reply belongs to which counter call."""
+"""Matching of replies with counter calls on a pipelined connection."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tamarindfold.counter.pipeline import IncrByFloat, Pipeline, part_of
+from tamarindfold.counter.pipeline import IncrByFloat, Pipeline, part_index
 from tamarindfold.interface import Count, CountAnswered, Outcome
 
 
-def pipeline(most: int = 10) -> Pipeline:
-    made = Pipeline(30.0, most, IncrByFloat("tf"))
+def pipeline(max_pending: int = 10) -> Pipeline:
+    made = Pipeline(30.0, max_pending, IncrByFloat("tf"))
     made.connected = True
     return made
 
 
-def test_a_call_is_one_write_of_two_commands() -> None:
+def test_call_is_one_write_of_two_commands() -> None:
     data = pipeline().call(0, Count(255, 1.5, 60_000))
     reader = hiredis.Reader()
     reader.feed(data)
@@ -25,12 +25,12 @@
     assert reader.gets() == [b"PEXPIRE", b"tf:ff", b"60000", b"NX"]
 
 
-def test_without_a_connection_nothing_was_added() -> None:
+def test_call_without_connection_fails_as_never_run() -> None:
     p = Pipeline(30.0, 10, IncrByFloat("tf"))
     assert p.call(5, Count(1, 1, 1)).outcome is Outcome.CONNECT_FAILED
 
 
-def test_beyond_the_bound_a_call_is_turned_away() -> None:
+def test_call_beyond_max_pending_is_rejected() -> None:
     p = pipeline(1)
     p.call(0, Count(1, 1, 1))
     assert p.call(0, Count(1, 1, 1)).outcome is Outcome.FULL
@@ -48,19 +48,19 @@
         ([1], Outcome.ERROR),
     ],
 )
-def test_what_a_reply_tells(value, outcome) -> None:
+def test_outcome_of_each_kind_of_reply(value, outcome) -> None:
     p = pipeline()
     p.call(0, Count(7, 1, 1))
-    (told,) = p.replies(4, [value, 1])
-    assert (told.name, told.outcome, told.elapsed_ms) == (7, outcome, 4)
+    (answer,) = p.replies(4, [value, 1])
+    assert (answer.name, answer.outcome, answer.elapsed_ms) == (7, outcome, 4)
 
 
-def test_a_reply_to_no_call_ends_the_connection() -> None:
+def test_reply_without_call_is_an_error() -> None:
     with pytest.raises(ValueError, match="no call"):
         pipeline().replies(0, [b"1"])
 
 
-def test_a_connection_that_owes_too_much_is_given_up_and_says_so() -> None:
+def test_connection_with_overdue_replies_is_stuck_and_its_loss_fails_calls() -> None:
     p = pipeline()
     p.call(0, Count(1, 1, 1))
     p.call(0, Count(2, 1, 1))
@@ -72,11 +72,11 @@
     assert p.call(601, Count(3, 1, 1)).outcome is Outcome.CONNECT_FAILED
 
 
-def test_names_spread_over_the_parts_and_stay_there() -> None:
-    names = [turn << 33 | customer for turn in range(3) for customer in range(1000)]
-    counts = [sum(part_of(n, 4) == part for n in names) for part in range(4)]
+def test_names_are_spread_evenly_and_consistently_over_parts() -> None:
+    names = [epoch << 33 | customer for epoch in range(3) for customer in range(1000)]
+    counts = [sum(part_index(n, 4) == part for n in names) for part in range(4)]
     assert min(counts) > 600
-    assert [part_of(n, 4) for n in names] == [part_of(n, 4) for n in names]
+    assert [part_index(n, 4) for n in names] == [part_index(n, 4) for n in names]
 
 
 steps = st.lists(
@@ -88,23 +88,24 @@
 @given(steps)
 def test_each_call_is_answered_once_and_by_its_own_reply(script) -> None:
     p, now, number = pipeline(8), 0.0, 0
-    wire: list[tuple[int, int]] = []  # what the server owes: call, which of its two replies
+    wire: list[tuple[int, int]] = []  # replies the server still has to send: call, first or second reply
     open_calls: dict[int, float] = {}
     last: dict[int, int] = {}
-    told: list[CountAnswered] = []
+    answers: list[CountAnswered] = []
 
-    def take(answers):
-        for answer in answers:
+    def check(new_answers):
+        for answer in new_answers:
             assert answer.name in open_calls
             del open_calls[answer.name]
-            assert last.get(answer.name % 4, -1) < answer.name  # of one slot, in the order of the calls
+            # answers of calls with the same residue come in the order of the calls
+            assert last.get(answer.name % 4, -1) < answer.name
             last[answer.name % 4] = answer.name
             if answer.outcome is Outcome.OK:
                 assert answer.total == answer.name
-            told.append(answer)
+            answers.append(answer)
 
-    for what, amount in script:
-        if what == "call":
+    for action, amount in script:
+        if action == "call":
             number += 1
             open_calls[number] = now
             made = p.call(now, Count(number, 1, 1))
@@ -113,18 +114,18 @@
                 del open_calls[number]
             else:
                 wire += [(number, 1), (number, 2)]
-        elif what == "reply":
+        elif action == "reply":
             for _ in range(amount):
                 if wire:
                     call, which = wire.pop(0)
-                    take(p.replies(now, [float(call) if which == 1 else 1]))
-        elif what == "wait":
+                    check(p.replies(now, [float(call) if which == 1 else 1]))
+        elif action == "wait":
             now += 10 * amount
-            take(p.due(now))
+            check(p.due(now))
             assert all(now - at < 30 for at in open_calls.values())
         else:
             wire.clear()
-            take(p.lost(now))
+            check(p.lost(now))
             assert not open_calls
             p.connected = True
         assert p.next_due() is None or open_calls
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -349,7 +349,7 @@
         r.ask(token="small")
     pipeline = r.ingress.counter.parts[0].pipeline
     wait_for(lambda: not pipeline.calls)
-    assert pipeline.dropped > 0
+    assert pipeline.late_replies > 0
     r.counter.clear()
     r.ask(token="small")
     wait_for(lambda: not pipeline.calls)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""An ingress of the platform over loopback sockets, against stand-ins of all that is round it."""
+"""An ingress on the platform over loopback sockets, with stand-ins for the services that it uses."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from gevent import socket
 from rig import read_answer, wait_for
 from test_platform import CONFIG
-from world import free_port
+from testbed import free_port
 
 from tamarindfold.node import discovery as discovery_driver
-from tamarindfold.node.limits import RESERVE, budget
+from tamarindfold.node.limits import RESERVED_DESCRIPTORS, allocate_limits
 from tamarindfold.platform import configuration
 from tamarindfold.standins.base import Fault
 from tamarindfold.standins.counter import CounterStandinConfig
@@ -38,13 +38,13 @@
     return [Fault(kind=kind, **changes)]
 
 
-def test_a_request_is_served_with_the_backends_body_and_passed_on_unchanged(world) -> None:
-    w = world()
-    sock = w.connect()
-    answer = w.ask(sock, cls="switch", body=b"\x00\xffbody")
+def test_request_is_forwarded_unchanged_and_served_with_the_backends_body(start_testbed) -> None:
+    testbed = start_testbed()
+    sock = testbed.connect()
+    answer = testbed.ask(sock, cls="switch", body=b"\x00\xffbody")
     assert (answer.status, answer.body) == (200, b"%016x" % 1)
-    assert w.ask(sock).status == 200
-    first = next(e for e in w.came() if e["method"] == "POST")
+    assert testbed.ask(sock).status == 200
+    first = next(e for e in testbed.received() if e["method"] == "POST")
     assert (first["id"], first["target"], first["body"]) == (
         f"{1:016x}",
         "/api?key=00000000b4d65521",
@@ -53,20 +53,20 @@
     assert 0 < float(first["budget"]) <= 3
 
 
-def test_readiness_follows_the_list(world) -> None:
-    w = world()
-    sock = w.connect()
+def test_ready_only_with_a_list_of_backends(start_testbed) -> None:
+    testbed = start_testbed()
+    sock = testbed.connect()
     for known, status in ((True, 200), (False, 503)):
         if not known:
-            w.node.core.fleet.clear()
+            testbed.node.core.fleet.clear()
         sock.sendall(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert read_answer(sock).status == status
 
 
-def test_beyond_the_quota_the_refusal_comes_at_once_with_a_decimal_time(world) -> None:
-    w = world()
-    sock = w.connect()
-    answers = [w.ask(sock, X_Contract="small") for _ in range(6)]
+def test_refusal_beyond_the_quota_has_a_decimal_retry_after(start_testbed) -> None:
+    testbed = start_testbed()
+    sock = testbed.connect()
+    answers = [testbed.ask(sock, X_Contract="small") for _ in range(6)]
     refused = [a for a in answers if a.status == 429]
     assert refused and all(
         "." in a.headers["retry-after"] and float(a.headers["retry-after"]) > 0 for a in refused
@@ -76,88 +76,93 @@
 @pytest.mark.parametrize(
     "kind", ["noise", "bad_head", "two_lengths", "short", "endless", "huge", "error", "reset", "close"]
 )
-def test_a_spoilt_answer_is_never_served_and_what_may_have_run_is_not_sent_again(world, kind) -> None:
-    w = world(faults=fault(kind))
+def test_faulty_answer_is_not_served_and_non_idempotent_request_is_not_retried(start_testbed, kind) -> None:
+    testbed = start_testbed(faults=fault(kind))
     short = {"X_Budget": "0.900", "X_Metering": "units=1,spread=3,first=1"} if kind == "short" else {}
-    assert w.ask(cls="switch", body=b"x", **short).status in (502, 504)
-    assert len(w.came()) == 1
-    assert w.ask(**short).status == 503  # safe: tried again as far as allowed, then refused
-    assert kind == "error" or not any(w.node.pool.idle.values())
-    assert len(w.came()) <= 1 + 3
+    assert testbed.ask(cls="switch", body=b"x", **short).status in (502, 504)
+    assert len(testbed.received()) == 1
+    assert testbed.ask(**short).status == 503  # idempotent: retried as often as allowed, then refused
+    assert kind == "error" or not any(testbed.node.pool.idle.values())
+    assert len(testbed.received()) <= 1 + 3
 
 
-def test_kept_connections_serve_what_must_not_run_twice_only_while_none_breaks(world) -> None:
-    w = world(1)
-    sock = w.connect()
+def test_non_idempotent_requests_use_kept_connections_only_while_none_breaks(start_testbed) -> None:
+    testbed = start_testbed(1)
+    sock = testbed.connect()
     for _ in range(4):
-        assert w.ask(sock, cls="switch", body=b"x").status == 200
-    assert w.node.pool.counts["opened"] == 1
-    w.backends[0].cut()  # the backend closes what it holds
-    assert w.ask(sock, cls="switch", body=b"x").status == 200
-    assert w.ask(sock, cls="switch", body=b"x").status == 200
-    assert w.node.pool.counts["opened"] == 3 and w.node.pool.counts["found_closed"] == 1
-    w.node.pool.last_broken_ms -= w.node.limits.kept_trust_ms
-    assert w.ask(sock, cls="switch", body=b"x").status == 200
-    assert w.node.pool.counts["opened"] == 3
-
-
-def test_a_turned_away_request_is_sent_again_even_if_it_must_not_run_twice(world) -> None:
-    w = world(faults=fault("turn_away", part=0.5))
-    sock = w.connect()
-    statuses = [w.ask(sock, cls="switch", body=b"x").status for _ in range(20)]
+        assert testbed.ask(sock, cls="switch", body=b"x").status == 200
+    assert testbed.node.pool.counts["opened"] == 1
+    testbed.backends[0].cut()  # the backend closes its connections
+    assert testbed.ask(sock, cls="switch", body=b"x").status == 200
+    assert testbed.ask(sock, cls="switch", body=b"x").status == 200
+    assert testbed.node.pool.counts["opened"] == 3 and testbed.node.pool.counts["found_closed"] == 1
+    testbed.node.pool.last_broken_ms -= testbed.node.limits.reuse_after_break_ms
+    assert testbed.ask(sock, cls="switch", body=b"x").status == 200
+    assert testbed.node.pool.counts["opened"] == 3
+
+
+def test_request_rejected_by_a_backend_is_retried_even_if_non_idempotent(start_testbed) -> None:
+    testbed = start_testbed(faults=fault("turn_away", part=0.5))
+    sock = testbed.connect()
+    statuses = [testbed.ask(sock, cls="switch", body=b"x").status for _ in range(20)]
     assert set(statuses) <= {200, 503} and statuses.count(200) > 10
 
 
-@pytest.mark.parametrize(("room", "statuses"), [(1 << 30, {200}), (200_000, {503})])
-def test_large_answers_are_served_whole_within_a_bound_for_all(world, monkeypatch, room, statuses) -> None:
+@pytest.mark.parametrize(("limit", "statuses"), [(1 << 30, {200}), (200_000, {503})])
+def test_large_answers_are_served_complete_within_the_total_limit(
+    start_testbed, monkeypatch, limit, statuses
+) -> None:
     monkeypatch.setattr(
-        "tamarindfold.node.ingress.budget", lambda *a: replace(budget(*a), answers_bytes=room)
+        "tamarindfold.node.server.allocate_limits",
+        lambda *a: replace(allocate_limits(*a), total_answer_bytes=limit),
     )
-    w = world(body="x" * 321_544)
-    sock = w.connect()
-    answers = [w.ask(sock) for _ in range(3)]
-    assert {a.status for a in answers} == statuses and w.node.upstream.held_bytes == 0
+    testbed = start_testbed(body="x" * 321_544)
+    sock = testbed.connect()
+    answers = [testbed.ask(sock) for _ in range(3)]
+    assert {a.status for a in answers} == statuses and testbed.node.upstream.held_bytes == 0
     assert all(len(a.body) == 321_544 for a in answers if a.status == 200)
 
 
 @pytest.mark.parametrize("kind", ["endless", "huge"])
-def test_endless_answers_are_dropped_after_a_head_of_bounded_size(world, kind, monkeypatch) -> None:
-    w = world(faults=fault(kind))
+def test_endless_answers_are_dropped_with_bounded_memory(start_testbed, kind, monkeypatch) -> None:
+    testbed = start_testbed(faults=fault(kind))
     held: list[int] = []
-    tell = w.node.core.attempt_ended
+    attempt_ended = testbed.node.core.attempt_ended
     monkeypatch.setattr(
-        w.node.core, "attempt_ended", lambda *a: (held.append(w.node.upstream.peak_held_bytes), tell(*a))
+        testbed.node.core,
+        "attempt_ended",
+        lambda *a: (held.append(testbed.node.upstream.peak_held_bytes), attempt_ended(*a)),
     )
-    assert w.ask(cls="switch", body=b"x").status == 502
+    assert testbed.ask(cls="switch", body=b"x").status == 502
     assert len(held) == 1 and held[0] <= 3 * 65_536
 
 
 @pytest.mark.parametrize("kind", ["extra", "interim", "bad_report"])
-def test_a_good_answer_with_more_than_belongs_to_it_is_served(world, kind) -> None:
-    w = world(faults=fault(kind))
-    sock = w.connect()
+def test_valid_answer_with_excess_data_is_served(start_testbed, kind) -> None:
+    testbed = start_testbed(faults=fault(kind))
+    sock = testbed.connect()
     for n in range(1, 6):
-        answer = w.ask(sock)
+        answer = testbed.ask(sock)
         assert (answer.status, answer.body) == (200, b"%016x" % n)
     if kind == "extra":
-        assert w.node.pool.counts["reused"] == 0
+        assert testbed.node.pool.counts["reused"] == 0
 
 
-def test_a_client_that_leaves_has_its_attempt_given_up(world) -> None:
-    w = world(1, work_ms=5_000.0)
-    sock = w.connect()
-    sock.sendall(w.text())
-    wait_for(lambda: w.came())
+def test_attempt_is_cancelled_when_the_client_disconnects(start_testbed) -> None:
+    testbed = start_testbed(1, work_ms=5_000.0)
+    sock = testbed.connect()
+    sock.sendall(testbed.request_bytes())
+    wait_for(lambda: testbed.received())
     sock.close()
-    wait_for(lambda: w.node.upstream.counts["cancelled"] == 1 and not w.node.pool.total_open)
-    assert w.node.core.counts["left"] == 1 and not w.node.front.open_names
+    wait_for(lambda: testbed.node.upstream.counts["cancelled"] == 1 and not testbed.node.pool.total_open)
+    assert testbed.node.core.counts["left"] == 1 and not testbed.node.front.open_call_ids
 
 
-def test_a_silent_backend_ends_with_the_clients_time(world) -> None:
-    w = world(faults=fault("silent"))
+def test_silent_backend_times_out_at_the_clients_deadline(start_testbed) -> None:
+    testbed = start_testbed(faults=fault("silent"))
     one = {"X_Budget": "0.900", "X_Metering": "units=1,spread=3,first=1"}
-    assert w.ask(cls="switch", body=b"x", **one).status == 504
-    assert w.ask(**one).status in (503, 504)
+    assert testbed.ask(cls="switch", body=b"x", **one).status == 504
+    assert testbed.ask(**one).status in (503, 504)
 
 
 @pytest.mark.parametrize(
@@ -170,9 +175,9 @@
         b"GET /api HTTP/1.1\r\nHost: o\r\n\r\n" * 300,
     ],
 )
-def test_what_cannot_be_taken_gets_an_error_or_a_close(world, raw) -> None:
-    w = world()
-    sock = w.connect()
+def test_invalid_input_gets_an_error_or_a_close(start_testbed, raw) -> None:
+    testbed = start_testbed()
+    sock = testbed.connect()
     try:
         sock.sendall(raw)
         answer = sock.recv(65536)
@@ -180,30 +185,30 @@
         while sock.recv(65536):
             pass
     except OSError:
-        pass  # a reset is a close
-    assert not w.came()
-
-
-def test_requests_ahead_of_an_answer_end_the_connection(world) -> None:
-    w = world()
-    sock = w.connect()
-    sock.sendall(w.text() + w.text())
-    assert read_answer(sock).status == 400 and not w.came()
-    w.backends[0].config = w.backends[1].config = BackendConfig(work_ms=100.0)
-    sock = w.connect()
-    sock.sendall(w.text())
-    wait_for(lambda: w.came())
-    sock.sendall(w.text())
+        pass  # a reset also closes the connection
+    assert not testbed.received()
+
+
+def test_pipelined_request_closes_the_connection(start_testbed) -> None:
+    testbed = start_testbed()
+    sock = testbed.connect()
+    sock.sendall(testbed.request_bytes() + testbed.request_bytes())
+    assert read_answer(sock).status == 400 and not testbed.received()
+    testbed.backends[0].config = testbed.backends[1].config = BackendConfig(work_ms=100.0)
+    sock = testbed.connect()
+    sock.sendall(testbed.request_bytes())
+    wait_for(lambda: testbed.received())
+    sock.sendall(testbed.request_bytes())
     assert read_answer(sock).status == 200 and sock.recv(100) == b""
-    assert len(w.came()) == 1
+    assert len(testbed.received()) == 1
 
 
-def test_the_id_of_an_open_request_is_turned_away_until_that_is_answered(world) -> None:
-    w = world(work_ms=200.0)
-    first, second, third = w.connect(), w.connect(), w.connect()
-    data = w.text()
+def test_call_id_of_an_open_request_is_rejected_until_its_answer(start_testbed) -> None:
+    testbed = start_testbed(work_ms=200.0)
+    first, second, third = testbed.connect(), testbed.connect(), testbed.connect()
+    data = testbed.request_bytes()
     first.sendall(data)
-    wait_for(lambda: w.came())
+    wait_for(lambda: testbed.received())
     second.sendall(data)
     assert read_answer(second).status == 409
     assert read_answer(first).status == 200
@@ -214,180 +219,206 @@
 @pytest.mark.parametrize(
     "sent", [b"", b"GET /api?key", b"POST /x HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\nabc"]
 )
-def test_a_connection_that_brings_no_whole_request_is_closed_in_time(world, monkeypatch, sent) -> None:
-    monkeypatch.setattr("tamarindfold.node.ingress.budget", lambda *a: replace(budget(*a), first_ms=60.0))
-    w = world()
-    sock = w.connect()
+def test_connection_without_a_complete_first_request_is_closed(start_testbed, monkeypatch, sent) -> None:
+    monkeypatch.setattr(
+        "tamarindfold.node.server.allocate_limits",
+        lambda *a: replace(allocate_limits(*a), first_request_timeout_ms=60.0),
+    )
+    testbed = start_testbed()
+    sock = testbed.connect()
     sock.sendall(sent)
     assert sock.recv(100)[9:12] in (b"", b"408")
 
 
-def test_room_is_made_by_closing_who_brought_nothing_first(world, monkeypatch) -> None:
-    monkeypatch.setattr("tamarindfold.node.ingress.budget", lambda *a: replace(budget(*a), connections=3))
-    w = world()
-    good = w.connect()
-    assert w.ask(good).status == 200
-    silent = [w.connect() for _ in range(2)]
-    wait_for(lambda: len(w.node.front.clients) == 3)
-    assert w.ask().status == 200  # in the place of the oldest silent one
-    assert silent[0].recv(10) == b"" and w.node.front.counts["evicted"] == 1
-    assert w.ask(good).status == 200
-
-
-def test_many_idle_connections_do_not_keep_other_clients_out(world, monkeypatch) -> None:
-    """rd80215: 126 idle connections were all that clients may hold, and two tries in three never came."""
-    monkeypatch.setattr("tamarindfold.node.ingress.budget", lambda *a: replace(budget(*a), kept_idle=2))
-    w = world()
-    socks = [w.connect() for _ in range(3)]
-    kept = [w.ask(sock) for sock in socks[:2]]
-    wait_for(lambda: w.node.front.known_idle == 2)
-    silent = w.connect()
-    last = w.ask(socks[2])
+def test_connections_without_a_request_are_evicted_first(start_testbed, monkeypatch) -> None:
+    monkeypatch.setattr(
+        "tamarindfold.node.server.allocate_limits", lambda *a: replace(allocate_limits(*a), connections=3)
+    )
+    testbed = start_testbed()
+    good = testbed.connect()
+    assert testbed.ask(good).status == 200
+    silent = [testbed.connect() for _ in range(2)]
+    wait_for(lambda: len(testbed.node.front.clients) == 3)
+    assert testbed.ask().status == 200  # replaces the oldest silent connection
+    assert silent[0].recv(10) == b"" and testbed.node.front.counts["evicted"] == 1
+    assert testbed.ask(good).status == 200
+
+
+def test_many_idle_connections_do_not_exclude_other_clients(start_testbed, monkeypatch) -> None:
+    """Guards against idle connections that take all places of clients.
+
+    With 126 idle connections, the whole allowance of clients, two requests in three never reached the ingress.
+    """
+    monkeypatch.setattr(
+        "tamarindfold.node.server.allocate_limits",
+        lambda *a: replace(allocate_limits(*a), max_idle_connections=2),
+    )
+    testbed = start_testbed()
+    socks = [testbed.connect() for _ in range(3)]
+    kept = [testbed.ask(sock) for sock in socks[:2]]
+    wait_for(lambda: testbed.node.front.proven_idle == 2)
+    silent = testbed.connect()
+    last = testbed.ask(socks[2])
     assert [a.status for a in (*kept, last)] == [200] * 3
     assert [a.headers.get("connection") for a in (*kept, last)] == [None, None, "close"]
-    assert socks[2].recv(10) == b"" and w.node.front.counts["not_kept"] == 1
+    assert socks[2].recv(10) == b"" and testbed.node.front.counts["not_kept"] == 1
     silent.close()
     socks[0].close()
-    wait_for(lambda: w.node.front.known_idle == 1)
-    assert "connection" not in w.ask(w.connect()).headers
+    wait_for(lambda: testbed.node.front.proven_idle == 1)
+    assert "connection" not in testbed.ask(testbed.connect()).headers
 
 
 @pytest.mark.parametrize("sockets", [128, 256, 384, 1024])
-def test_the_budget_of_descriptors_holds_for_all(sockets) -> None:
-    limits = budget(sockets, 64, 20_000)
-    assert limits.connections + limits.backend_connections + RESERVE <= sockets
-    assert limits.kept_idle < sockets / 3 <= limits.connections and limits.backend_connections >= sockets / 4
+def test_descriptor_limits_add_up(sockets) -> None:
+    limits = allocate_limits(sockets, 64, 20_000)
+    assert limits.connections + limits.backend_connections + RESERVED_DESCRIPTORS <= sockets
+    assert (
+        limits.max_idle_connections < sockets / 3 <= limits.connections
+        and limits.backend_connections >= sockets / 4
+    )
 
 
-def test_nothing_new_goes_to_a_backend_that_leaves_and_its_connections_go_with_it(world) -> None:
-    w = world()
-    sock = w.connect()
+def test_leaving_backend_gets_no_new_requests(start_testbed) -> None:
+    testbed = start_testbed()
+    sock = testbed.connect()
     for _ in range(8):
-        assert w.ask(sock).status == 200
-    w.discovery.change(w.entry(0, lifecycle="leaving"))
-    wait_for(lambda: w.node.book.generation == 42)
-    before = len(w.backends[0].ledger.of("came"))
-    assert [w.ask(sock).status for _ in range(8)] == [200] * 8
-    w.discovery.change(w.entry(0, lifecycle="left"))
-    wait_for(lambda: w.node.book.generation == 43)
-    assert len(w.backends[0].ledger.of("came")) == before
-    assert len(w.node.core.fleet) == len(w.node.book.entries) == 1
-
-
-def test_a_restarted_ingress_takes_nothing_before_the_news_since_its_list(world, monkeypatch) -> None:
+        assert testbed.ask(sock).status == 200
+    testbed.discovery.change(testbed.instance(0, lifecycle="leaving"))
+    wait_for(lambda: testbed.node.directory.generation == 42)
+    before = len(testbed.backends[0].ledger.of("came"))
+    assert [testbed.ask(sock).status for _ in range(8)] == [200] * 8
+    testbed.discovery.change(testbed.instance(0, lifecycle="left"))
+    wait_for(lambda: testbed.node.directory.generation == 43)
+    assert len(testbed.backends[0].ledger.of("came")) == before
+    assert len(testbed.node.core.fleet) == len(testbed.node.directory.entries) == 1
+
+
+def test_restarted_ingress_listens_only_after_the_first_update(start_testbed, monkeypatch) -> None:
     monkeypatch.setattr(
-        "tamarindfold.node.ingress.budget", lambda *a: replace(budget(*a), first_list_ms=60_000.0)
+        "tamarindfold.node.server.allocate_limits",
+        lambda *a: replace(allocate_limits(*a), first_list_timeout_ms=60_000.0),
     )
-    w = world(start=False)
-    w.config["known"] = {"generation": 40, "reset": True, "instances": [w.entry(0), w.entry(1)]}
-    w.discovery.change(w.entry(0, lifecycle="leaving"))
-    w.discovery.inject(Fault(kind="silent"))
-    starting = gevent.spawn(w.run)
-    wait_for(lambda: w.discovery.asked and w.node and w.node.core.fleet)
-    with pytest.raises(OSError):  # clients wait for it: they would be served by the list from before
-        socket.create_connection(w.node.config.listen, timeout=1)
-    w.discovery.clear()
+    testbed = start_testbed(start=False)
+    testbed.config["known"] = {
+        "generation": 40,
+        "reset": True,
+        "instances": [testbed.instance(0), testbed.instance(1)],
+    }
+    testbed.discovery.change(testbed.instance(0, lifecycle="leaving"))
+    testbed.discovery.inject(Fault(kind="silent"))
+    starting = gevent.spawn(testbed.run)
+    wait_for(lambda: testbed.discovery.asked and testbed.node and testbed.node.core.fleet)
+    with pytest.raises(OSError):  # it does not listen yet, since its list may be outdated
+        socket.create_connection(testbed.node.config.listen, timeout=1)
+    testbed.discovery.clear()
     starting.get(timeout=20)
-    sock = w.connect()
-    assert [w.ask(sock).status for _ in range(8)] == [200] * 8
-    assert not w.backends[0].ledger.of("came")
+    sock = testbed.connect()
+    assert [testbed.ask(sock).status for _ in range(8)] == [200] * 8
+    assert not testbed.backends[0].ledger.of("came")
 
 
-@pytest.mark.parametrize("agent", ["silent", "away"])
-def test_an_ingress_whose_agent_stays_silent_serves_by_the_list_it_has(world, monkeypatch, agent) -> None:
+@pytest.mark.parametrize("discovery", ["silent", "away"])
+def test_ingress_without_discovery_serves_by_its_initial_list(start_testbed, monkeypatch, discovery) -> None:
     monkeypatch.setattr(
-        "tamarindfold.node.ingress.budget", lambda *a: replace(budget(*a), first_list_ms=20.0)
+        "tamarindfold.node.server.allocate_limits",
+        lambda *a: replace(allocate_limits(*a), first_list_timeout_ms=20.0),
     )
-    w = world(start=False)
-    w.config["known"] = {"generation": 40, "reset": True, "instances": [w.entry(0), w.entry(1)]}
-    w.discovery.inject(Fault(kind="silent"))
-    if agent == "away":
-        w.config["discovery"] = f"127.0.0.1:{free_port()}"
-    w.run()
-    assert "fleet.first_line_awaited_in_vain" in w.logged and w.ask().status == 200
-
-
-def test_a_watch_that_falls_silent_or_makes_no_sense_is_replaced(world, monkeypatch) -> None:
-    monkeypatch.setattr(discovery_driver, "SILENT_S", 0.05)
-    monkeypatch.setattr(discovery_driver, "FIRST_S", 0.05)
-    w = world()
-    wait_for(lambda: w.node.watch.counts["watches"] >= 3)
-    assert w.discovery.asked[-1].endswith("from=41") and len(w.node.core.fleet) == 2
-    w.discovery.inject(Fault(kind="noise"))
-    wait_for(lambda: any(asked.endswith("from=0") for asked in w.discovery.asked))
-    w.discovery.clear()
-    w.discovery.change(w.entry(0, lifecycle="leaving"))
-    wait_for(lambda: w.node.book.generation == 42)
-    assert w.ask().status == 200
-
-
-def test_discovery_and_counter_move_without_a_lost_request(world) -> None:
-    w = world()
-    other = PlatformDiscovery(DiscoveryConfig(instances=[w.entry(0), w.entry(1)]))
+    testbed = start_testbed(start=False)
+    testbed.config["known"] = {
+        "generation": 40,
+        "reset": True,
+        "instances": [testbed.instance(0), testbed.instance(1)],
+    }
+    testbed.discovery.inject(Fault(kind="silent"))
+    if discovery == "away":
+        testbed.config["discovery"] = f"127.0.0.1:{free_port()}"
+    testbed.run()
+    assert "fleet.first_line_awaited_in_vain" in testbed.logged and testbed.ask().status == 200
+
+
+def test_silent_or_invalid_watch_is_replaced(start_testbed, monkeypatch) -> None:
+    monkeypatch.setattr(discovery_driver, "SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(discovery_driver, "FIRST_DATA_TIMEOUT_S", 0.05)
+    testbed = start_testbed()
+    wait_for(lambda: testbed.node.watch.counts["watches"] >= 3)
+    assert testbed.discovery.asked[-1].endswith("from=41") and len(testbed.node.core.fleet) == 2
+    testbed.discovery.inject(Fault(kind="noise"))
+    wait_for(lambda: any(asked.endswith("from=0") for asked in testbed.discovery.asked))
+    testbed.discovery.clear()
+    testbed.discovery.change(testbed.instance(0, lifecycle="leaving"))
+    wait_for(lambda: testbed.node.directory.generation == 42)
+    assert testbed.ask().status == 200
+
+
+def test_discovery_and_counter_change_address_without_a_lost_request(start_testbed) -> None:
+    testbed = start_testbed()
+    other = PlatformDiscovery(DiscoveryConfig(instances=[testbed.instance(0), testbed.instance(1)]))
     other.generation = 50
     counter = PlatformCounter(CounterStandinConfig())
-    w.others += [other, counter]
+    testbed.services += [other, counter]
     other.start()
     counter.start()
-    sock = w.connect()
-    for turn in range(3):  # again and again, also to where it is already
-        w.node.move(
+    sock = testbed.connect()
+    for turn in range(3):  # repeatedly, also to the current address
+        testbed.node.change_addresses(
             *configuration.addresses(
-                msgspec.json.encode(w.config | {"discovery": other.address, "counter": counter.address})
+                msgspec.json.encode(testbed.config | {"discovery": other.address, "counter": counter.address})
             )
         )
-        assert w.ask(sock, X_Contract="small").status in (200, 429), turn
-    wait_for(lambda: w.node.book.generation == 50 and w.node.counter.parts[0].pipeline.connected)
-    wait_for(lambda: len(counter.sockets) == 1 and not w.counter.sockets)
-    assert not w.node.watch.counts["lost"] > 2
+        assert testbed.ask(sock, X_Contract="small").status in (200, 429), turn
+    wait_for(
+        lambda: testbed.node.directory.generation == 50 and testbed.node.counter.parts[0].pipeline.connected
+    )
+    wait_for(lambda: len(counter.sockets) == 1 and not testbed.counter.sockets)
+    assert not testbed.node.watch.counts["lost"] > 2
 
 
-def test_spoilt_replies_of_the_counter_cost_a_connection_and_no_request(world) -> None:
-    w = world()
-    w.counter.inject(Fault(kind="spoilt"))
-    sock = w.connect()
-    statuses = {w.ask(sock, X_Contract="small").status for _ in range(12)}
+def test_corrupted_counter_replies_cost_a_connection_but_no_request(start_testbed) -> None:
+    testbed = start_testbed()
+    testbed.counter.inject(Fault(kind="spoilt"))
+    sock = testbed.connect()
+    statuses = {testbed.ask(sock, X_Contract="small").status for _ in range(12)}
     assert statuses <= {200, 429}
-    wait_for(lambda: "counter.lost" in w.logged)
-    w.counter.clear()
-    wait_for(lambda: w.node.counter.parts[0].pipeline.connected)
-
-
-def test_stopping_answers_what_was_taken_and_what_still_comes(world) -> None:
-    w = world(work_ms=300.0)
-    early, idle = w.connect(), w.connect()
-    assert w.ask(idle).status == 200
-    early.sendall(w.text())
-    wait_for(lambda: len(w.came()) == 2)
-    stopping = gevent.spawn(w.node.stop)
+    wait_for(lambda: "counter.lost" in testbed.logged)
+    testbed.counter.clear()
+    wait_for(lambda: testbed.node.counter.parts[0].pipeline.connected)
+
+
+def test_stop_answers_open_requests_and_new_ones(start_testbed) -> None:
+    testbed = start_testbed(work_ms=300.0)
+    early, idle = testbed.connect(), testbed.connect()
+    assert testbed.ask(idle).status == 200
+    early.sendall(testbed.request_bytes())
+    wait_for(lambda: len(testbed.received()) == 2)
+    stopping = gevent.spawn(testbed.node.stop)
     gevent.sleep(0.01)
-    late = w.connect()
-    late.sendall(w.text())
+    late = testbed.connect()
+    late.sendall(testbed.request_bytes())
     answers = [read_answer(sock) for sock in (early, late)]
     assert [a.status for a in answers] == [200, 200]
     assert all(a.headers["connection"] == "close" for a in answers)
     stopping.get(timeout=20)
-    assert idle.recv(10) == b"" and not len(w.node.front.clients)
+    assert idle.recv(10) == b"" and not len(testbed.node.front.clients)
     with pytest.raises(OSError):
-        w.connect()
+        testbed.connect()
 
 
-def test_no_table_grows_with_what_has_come_and_gone(world) -> None:
-    w = world()
+def test_no_table_grows_with_replaced_backends_and_closed_connections(start_testbed) -> None:
+    testbed = start_testbed()
     for n in range(150):
-        w.discovery.change(
-            w.entry(0, instanceId=f"g-{n}"),
-            *([w.entry(0, instanceId=f"g-{n - 1}", lifecycle="left")] if n else []),
+        testbed.discovery.change(
+            testbed.instance(0, instanceId=f"g-{n}"),
+            *([testbed.instance(0, instanceId=f"g-{n - 1}", lifecycle="left")] if n else []),
         )
-        sock = w.connect()
-        assert w.ask(sock).status == 200
-        w.opened.pop().close()
-    wait_for(lambda: w.node.book.generation == 191 and not len(w.node.front.clients))
-    w.node.pool.prune_idle(w.node.core.fleet.__contains__)
-    sizes = w.node.counts()["sizes"]
+        sock = testbed.connect()
+        assert testbed.ask(sock).status == 200
+        testbed.opened.pop().close()
+    wait_for(lambda: testbed.node.directory.generation == 191 and not len(testbed.node.front.clients))
+    testbed.node.pool.prune_idle(testbed.node.core.fleet.__contains__)
+    sizes = testbed.node.counts()["sizes"]
     assert sizes["backends"] == sizes["book"] == 3 and sizes["to_backends"] <= 8
     assert not any(sizes[what] for what in ("clients", "idle", "silent", "held", "open", "calls"))
-    assert len(w.node.core.gateway.backends) == 3 and len(w.node.pool.open) <= 3
+    assert len(testbed.node.core.gateway.backends) == 3 and len(testbed.node.pool.open) <= 3
 
 
 # ---- the program
@@ -415,42 +446,42 @@
         msgspec.json.encode(CONFIG | {"known": {"generation": "x"}}),
     ],
 )
-def test_what_cannot_be_started_says_why_in_one_line(tmp_path, text) -> None:
+def test_failed_start_prints_one_line(tmp_path, text) -> None:
     process = start(tmp_path, text)
-    _, said = process.communicate(timeout=60)
+    _, output = process.communicate(timeout=60)
     assert (
         process.returncode == 2
-        and said.count(b"\n") == 1
-        and said.startswith(b"tamarindfold.node: RELAY_CONFIG")
+        and output.count(b"\n") == 1
+        and output.startswith(b"tamarindfold.node: RELAY_CONFIG")
     )
 
 
-def test_signals_in_service(tmp_path) -> None:
+def test_signals_while_serving(tmp_path) -> None:
     config = CONFIG | {
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": f"127.0.0.1:{free_port()}",
         "counter": f"127.0.0.1:{free_port()}",
     }
     process = start(tmp_path, msgspec.json.encode(config))
-    said: list[bytes] = [process.stderr.readline()]
-    while b"node.listening" not in said[-1]:
-        said.append(process.stderr.readline())
+    output: list[bytes] = [process.stderr.readline()]
+    while b"node.listening" not in output[-1]:
+        output.append(process.stderr.readline())
     (tmp_path / "config.json").write_bytes(b"{")
     process.send_signal(signal.SIGHUP)
-    while b"node.configuration_unusable" not in said[-1]:
-        said.append(process.stderr.readline())
+    while b"node.configuration_unusable" not in output[-1]:
+        output.append(process.stderr.readline())
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(config | {"discovery": "127.0.0.1:1"}))
     process.send_signal(signal.SIGHUP)
-    while b"node.moved" not in said[-1]:
-        said.append(process.stderr.readline())
+    while b"node.moved" not in output[-1]:
+        output.append(process.stderr.readline())
     process.send_signal(signal.SIGTERM)
     process.send_signal(signal.SIGTERM)
     process.communicate(timeout=60)
     assert process.returncode == 0
 
 
-def test_the_deploy_file_starts_one_process_as_the_standing_test_asks(tmp_path) -> None:
-    """By exec, without children, linked with the C library, on IPv4 alone, all threads waiting."""
+def test_deploy_file_starts_one_process_with_the_required_properties(tmp_path) -> None:
+    """Started by exec; no child processes, linked with the C library, IPv4 but no Unix sockets, all threads waiting."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert run.split(" ")[-4:-1] == ["exec", ".venv/bin/python", "-m"]
     config = CONFIG | {
@@ -459,9 +490,8 @@
         "counter": f"127.0.0.1:{free_port()}",
     }
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(config))
-    command = run.replace(
-        ".venv/bin/python", sys.executable
-    )  # where the tests' own environment lies elsewhere
+    # the tests may run in another environment
+    command = run.replace(".venv/bin/python", sys.executable)
     process = subprocess.Popen(
         ["/bin/sh", "-c", command],
         cwd=ROOT,
@@ -492,7 +522,7 @@
     assert process.returncode == 0
 
 
-def test_it_loads_nothing_that_it_does_not_use() -> None:
+def test_unused_modules_are_not_loaded() -> None:
     code = (
         "import sys, tamarindfold.node.__main__; print(' '.join(m for m in sys.modules if m.split('.')[0] in "
         "('structlog', 'yaml', 'google', 'cryptography', 'click', 'httpx', 'asyncio', 'netaddr')"
@@ -502,7 +532,7 @@
     assert done.stdout.strip() == ""
 
 
-def test_a_link_moves_while_it_connects_reads_or_pauses_and_tells_each_end() -> None:
+def test_link_changes_address_while_connecting_reading_or_pausing_and_reports_each_end() -> None:
     from tamarindfold.ds.backoff import Backoff
     from tamarindfold.links.link import Link
 
@@ -514,13 +544,13 @@
     def reading(sock: socket.socket) -> None:
         read.append(sock.getpeername())
         if sock.recv(10):
-            raise ValueError("no sense")
+            raise ValueError("invalid data")
 
     link = Link(("127.0.0.1", free_port()), 5.0, Backoff(3600.0, 3600.0))
-    greenlet = gevent.spawn(link.keep, reading, ends.append)
-    wait_for(lambda: len(ends) == 2)  # refused twice: now it pauses
+    greenlet = gevent.spawn(link.maintain, reading, ends.append)
+    wait_for(lambda: len(ends) == 2)  # refused twice: now in the backoff pause
     for address in addresses:
-        link.move(address)
+        link.change_address(address)
         wait_for(lambda: link.sock is not None and read[-1] == address)  # noqa: B023
     listeners[2].accept()[0].sendall(b"noise")
     wait_for(lambda: isinstance(ends[-1], ValueError))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,7 @@
 from tamarindfold.config.model import GatewayConfig
 from tamarindfold.ingress.clock import SteadyClock
 from tamarindfold.interface import BackendState, ListKind
-from tamarindfold.membership.feed import FeedGap, FleetList
+from tamarindfold.membership.feed import FeedGap, ServerList
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = (ROOT / "examples" / "gateway.yaml").read_text()
@@ -60,24 +60,24 @@
 
 
 def test_changes_follow_on_a_full_list_and_a_gap_is_told() -> None:
-    fleet = FleetList()
+    fleet = ServerList()
     with pytest.raises(FeedGap):
-        fleet.take(line(3))
-    assert fleet.take(line(5, "full", server(1), server(2))).kind is ListKind.FULL
-    update = fleet.take(line(6, "changes", server(1, "gone"), server(2, "draining")))
+        fleet.apply(line(3))
+    assert fleet.apply(line(5, "full", server(1), server(2))).kind is ListKind.FULL
+    update = fleet.apply(line(6, "changes", server(1, "gone"), server(2, "draining")))
     assert [e.state for e in update.entries] == [BackendState.GONE, BackendState.DRAINING]
     with pytest.raises(FeedGap):
-        fleet.take(line(8))
+        fleet.apply(line(8))
     assert fleet.version == 6 and list(fleet.lines) == ["127.0.0.1:2"]
 
 
 def test_a_saved_list_is_cached_news_and_still_needs_a_full_one() -> None:
-    fleet, again = FleetList(), FleetList()
-    fleet.take(line(5, "full", server(1), server(2, "draining")))
-    update = again.restore(fleet.saved())
+    fleet, again = ServerList(), ServerList()
+    fleet.apply(line(5, "full", server(1), server(2, "draining")))
+    update = again.restore(fleet.encode())
     assert update.kind is ListKind.CACHED and len(update.entries) == 2
     with pytest.raises(FeedGap):
-        again.take(line(6))
+        again.apply(line(6))
 
 
 @pytest.mark.parametrize(
@@ -95,10 +95,10 @@
     ],
 )
 def test_a_bad_line_changes_nothing(bad) -> None:
-    fleet = FleetList()
-    fleet.take(line(1, "full", server(1)))
+    fleet = ServerList()
+    fleet.apply(line(1, "full", server(1)))
     with pytest.raises(ValueError, match="feed"):
-        fleet.take(bad)
+        fleet.apply(bad)
     assert list(fleet.lines) == ["127.0.0.1:1"] and fleet.version == 1
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol, byte for byte, without sockets."""
+"""The platform's protocols byte by byte, without sockets."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tamarindfold.http1.requests import Rejected, RequestReader
 from tamarindfold.http1.responses import BadResponse, ResponseReader
 from tamarindfold.interface import BackendState, Count, ListKind, Outcome
-from tamarindfold.platform import backends, configuration, words
+from tamarindfold.platform import backends, configuration, responses
 from tamarindfold.platform.counter import AddGet
-from tamarindfold.platform.registry import AddressBook, WatchReader
-from tamarindfold.platform.requests import Admission
+from tamarindfold.platform.registry import BackendDirectory, WatchReader
+from tamarindfold.platform.requests import CallParser
 
 SETTINGS = {
     "balancers": 4,
@@ -51,7 +51,7 @@
     "settings": SETTINGS,
     "more": 1,
 }
-GOOD = {
+VALID_HEADERS = {
     "X-Call-Id": "9b1f03aa5c7e2d41",
     "X-Call-Class": "quote",
     "X-Contract": "team",
@@ -64,14 +64,14 @@
     return msgspec.json.encode({k: v for k, v in (CONFIG | changes).items() if v is not None})
 
 
-def ask(
+def parse(
     method: str = "GET",
     target: str = "/api?key=00000000b4d65521",
     body: bytes = b"",
     extra: str = "",
     **changes: str | None,
 ):
-    headers = GOOD | {name.replace("_", "-"): value for name, value in changes.items()}
+    headers = VALID_HEADERS | {name.replace("_", "-"): value for name, value in changes.items()}
     lines = [
         f"{method} {target} HTTP/1.1",
         "Host: origin.svc",
@@ -81,10 +81,10 @@
         lines.append(f"Content-Length: {len(body)}")
     reader = RequestReader(16_384, 64, 65_536)
     reader.feed("\r\n".join(lines).encode() + extra.encode() + b"\r\n\r\n" + body)
-    return Admission(configuration.read(config()).settings).read(reader.ready.popleft())
+    return CallParser(configuration.read(config()).settings).parse(reader.ready.popleft())
 
 
-def test_the_configuration_is_read_with_the_simulators_names() -> None:
+def test_configuration_uses_the_simulators_settings_names() -> None:
     read = configuration.read(config())
     assert (read.listen, read.counter, read.seed, read.sockets) == (
         ("127.0.0.1", 9000),
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "key"),
     [
         ({"listen": None}, "listen"),
         ({"listen": "here"}, "listen"),
@@ -115,29 +115,29 @@
         ({"settings": SETTINGS | {"plans": []}}, "plans"),
     ],
 )
-def test_a_bad_configuration_names_what_is_wrong(changes, named) -> None:
-    with pytest.raises(ValueError, match=named):
+def test_invalid_configuration_error_names_the_key(changes, key) -> None:
+    with pytest.raises(ValueError, match=key):
         configuration.read(config(**changes))
 
 
-def test_a_configuration_that_is_no_json_object_is_refused() -> None:
+def test_configuration_must_be_a_json_object() -> None:
     for text in (b"", b"{", b"[]", b"\xff"):
         with pytest.raises(ValueError, match="JSON"):
             configuration.addresses(text)
 
 
-def test_a_good_request_is_read() -> None:
-    asked = ask()
-    assert (asked.name, asked.cls, asked.customer, asked.plan) == (b"9b1f03aa5c7e2d41", 0, 0xB4D65521, 0)
-    assert (asked.units, asked.width, asked.first, asked.time_left_ms, asked.retry) == (
+def test_valid_request_is_parsed() -> None:
+    call = parse()
+    assert (call.call_id, call.cls, call.customer, call.plan) == (b"9b1f03aa5c7e2d41", 0, 0xB4D65521, 0)
+    assert (call.units, call.width, call.first, call.time_left_ms, call.retry) == (
         2.0,
         3,
         1,
         480.0,
         False,
     )
-    assert ask(X_Again="1").retry and ask(X_Budget="99").time_left_ms == 6000
-    assert ask("POST", body=b"x", X_Call_Class="switch").cls == 1
+    assert parse(X_Again="1").retry and parse(X_Budget="99").time_left_ms == 6000
+    assert parse("POST", body=b"x", X_Call_Class="switch").cls == 1
 
 
 @pytest.mark.parametrize(
@@ -181,10 +181,10 @@
         {"extra": "\r\nx-budget: 1"},
     ],
 )
-def test_a_bad_request_is_turned_away_and_never_as_a_refusal(changes) -> None:
+def test_invalid_request_is_rejected_with_a_status_that_is_no_refusal(changes) -> None:
     with pytest.raises(Rejected) as caught:
-        ask(**changes)
-    assert words.rejected(caught.value.status, caught.value.detail, False)[9:12] not in (
+        parse(**changes)
+    assert responses.rejected(caught.value.status, caught.value.detail, False)[9:12] not in (
         b"429",
         b"503",
         b"200",
@@ -207,40 +207,40 @@
         "Content-Length: 4x",
     ],
 )
-def test_framing_that_can_be_read_in_two_ways_goes_no_further(framing) -> None:
+def test_ambiguous_framing_is_rejected(framing) -> None:
     reader = RequestReader(16_384, 64, 65_536)
     head = "POST /api?key=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + "".join(
-        f"{k}: {v}\r\n" for k, v in (GOOD | {"X-Call-Class": "switch"}).items()
+        f"{k}: {v}\r\n" for k, v in (VALID_HEADERS | {"X-Call-Class": "switch"}).items()
     )
     with pytest.raises(Rejected):
         reader.feed(f"{head}{framing}\r\n\r\n0\r\n\r\n".encode())
-        Admission(configuration.read(config()).settings).read(reader.ready.popleft())
+        CallParser(configuration.read(config()).settings).parse(reader.ready.popleft())
 
 
-@given(st.dictionaries(st.sampled_from(list(GOOD)), binary(max_size=40)), binary(max_size=60))
-def test_whatever_the_headers_hold_they_are_read_or_turned_away(headers, target) -> None:
+@given(st.dictionaries(st.sampled_from(list(VALID_HEADERS)), binary(max_size=40)), binary(max_size=60))
+def test_arbitrary_headers_are_parsed_or_rejected(headers, target) -> None:
     from tamarindfold.http1.requests import Request
 
-    pairs = [(k.lower().encode(), headers.get(k, v.encode())) for k, v in GOOD.items()]
+    pairs = [(k.lower().encode(), headers.get(k, v.encode())) for k, v in VALID_HEADERS.items()]
     request = Request("GET", target or b"/api?key=00000000b4d65521", pairs, b"", True)
     try:
-        asked = Admission(configuration.read(config()).settings).read(request)
+        call = CallParser(configuration.read(config()).settings).parse(request)
     except Rejected as fault:
         assert 400 <= fault.status < 500
     else:
-        assert 0 < asked.units <= 4 and 0 < asked.time_left_ms <= 6000 and 0 <= asked.customer < 1 << 33
+        assert 0 < call.units <= 4 and 0 < call.time_left_ms <= 6000 and 0 <= call.customer < 1 << 33
 
 
-def test_answers_are_worded_for_the_platform() -> None:
-    assert words.served(b"abc", True) == b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc"
-    assert b"429" in words.refused(True, 123.4, True) and b"retry-after: 0.123\r\n" in words.refused(
+def test_responses_to_clients() -> None:
+    assert responses.served(b"abc", True) == b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc"
+    assert b"429" in responses.refused(True, 123.4, True) and b"retry-after: 0.123\r\n" in responses.refused(
         True, 123.4, True
     )
-    assert b"503" in words.refused(False, None, False) and b"retry-after" not in words.refused(
+    assert b"503" in responses.refused(False, None, False) and b"retry-after" not in responses.refused(
         False, None, False
     )
-    assert (words.failed(True, True)[9:12], words.failed(False, True)[9:12]) == (b"504", b"502")
-    assert (words.ready("", True)[9:12], words.ready("no list", True)[9:12]) == (b"200", b"503")
+    assert (responses.failed(True, True)[9:12], responses.failed(False, True)[9:12]) == (b"504", b"502")
+    assert (responses.ready("", True)[9:12], responses.ready("no list", True)[9:12]) == (b"200", b"503")
 
 
 @pytest.mark.parametrize(
@@ -256,7 +256,7 @@
         (b"204 X\r\n", Outcome.ERROR),
     ],
 )
-def test_what_an_answer_means(answer, outcome) -> None:
+def test_outcome_of_backend_answers(answer, outcome) -> None:
     reader = ResponseReader(1000)
     reader.feed(b"HTTP/1.1 " + answer + b"Content-Length: 0\r\n\r\n")
     assert reader.complete and backends.outcome(reader) is outcome
@@ -272,14 +272,14 @@
         (b"\xff", ()),
     ],
 )
-def test_a_load_report_is_read_in_the_settings_order_or_not_at_all(report, read) -> None:
+def test_load_report_is_read_in_settings_order_or_ignored(report, read) -> None:
     reader = ResponseReader(1000)
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Load-Report: " + report + b"\r\n\r\n")
     assert backends.report(reader, ("inflight", "queue")) == read
 
 
 @given(binary(max_size=300))
-def test_any_bytes_are_an_answer_or_none(data) -> None:
+def test_arbitrary_bytes_are_an_answer_or_an_error(data) -> None:
     reader = ResponseReader(200)
     try:
         reader.feed(b"HTTP/1.1 200 OK\r\n" + data)
@@ -291,7 +291,7 @@
 @pytest.mark.parametrize(
     "start", [b"HTTP/1.1 200 OK\r\nX-Long: ", b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Long: "]
 )
-def test_a_head_of_one_line_without_an_end_is_bounded(start) -> None:
+def test_unterminated_header_line_is_bounded(start) -> None:
     reader = ResponseReader(1 << 20)
     reader.feed(start)
     with pytest.raises(BadResponse, match="head"):
@@ -299,7 +299,7 @@
             reader.feed(b"x" * 1024)
 
 
-def test_an_attempt_passes_on_what_must_be_unchanged() -> None:
+def test_attempt_forwards_target_body_and_call_id_unchanged() -> None:
     data = backends.attempt("POST", b"/api?key=00000000b4d65521", b"9b1f", b"body", 480.4)
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.split(b"\r\n")
@@ -316,7 +316,7 @@
     )
 
 
-def one(name: str, port: int = 9000, **changes) -> dict:
+def instance(name: str, port: int = 9000, **changes) -> dict:
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
@@ -330,57 +330,63 @@
     } | changes
 
 
-def book() -> AddressBook:
-    return AddressBook(("a", "b"), ("m1", "m2"))
+def new_directory() -> BackendDirectory:
+    return BackendDirectory(("a", "b"), ("m1", "m2"))
 
 
-def test_a_list_and_its_changes_are_told() -> None:
-    b = book()
-    update, moved = b.take(line(41, one("s-1"), one("s-2", 9001), reset=True), ListKind.CACHED)
-    assert (update.kind, update.version, moved, b.generation) == (ListKind.CACHED, 41, [], 41)
+def test_full_list_and_changes_are_applied() -> None:
+    directory = new_directory()
+    update, moved = directory.apply(
+        line(41, instance("s-1"), instance("s-2", 9001), reset=True), ListKind.CACHED
+    )
+    assert (update.kind, update.version, moved, directory.generation) == (ListKind.CACHED, 41, [], 41)
     entry = update.entries[0]
     assert (entry.zone, entry.kind, entry.cell, entry.state) == (1, 1, 3, BackendState.READY)
-    assert b.address(entry.backend) == ("127.0.0.1", 9000)
-    update, moved = b.take(
-        line(42, one("s-1", lifecycle="leaving"), {"instanceId": "s-2", "lifecycle": "left"})
+    assert directory.address(entry.backend) == ("127.0.0.1", 9000)
+    update, moved = directory.apply(
+        line(42, instance("s-1", lifecycle="leaving"), {"instanceId": "s-2", "lifecycle": "left"})
     )
     assert [e.state for e in update.entries] == [BackendState.DRAINING, BackendState.GONE]
-    assert update.kind is ListKind.CHANGES and moved == [update.entries[1].backend] and len(b.entries) == 1
+    assert (
+        update.kind is ListKind.CHANGES
+        and moved == [update.entries[1].backend]
+        and len(directory.entries) == 1
+    )
 
 
-def test_numbers_are_the_same_everywhere_and_connections_go_with_the_start_and_the_address() -> None:
-    first, second = book(), book()
-    (a,) = first.take(line(1, one("s-1"), reset=True))[0].entries
-    second.take(line(1, one("s-9"), reset=True))
-    (c,) = second.take(line(2, one("s-1")))[0].entries
+def test_numbers_are_equal_at_all_ingresses_and_restart_or_move_drops_connections() -> None:
+    first, second = new_directory(), new_directory()
+    (a,) = first.apply(line(1, instance("s-1"), reset=True))[0].entries
+    second.apply(line(1, instance("s-9"), reset=True))
+    (c,) = second.apply(line(2, instance("s-1")))[0].entries
     assert a.backend == c.backend
     for change in ({"startedAtMs": 5}, {"hostPort": "127.0.0.2:9000", "startedAtMs": 5}):
-        assert first.take(line(3, one("s-1", **change)))[1] == [a.backend]
-    assert first.take(line(4, one("s-1", hostPort="127.0.0.2:9000", startedAtMs=5)))[1] == []
+        assert first.apply(line(3, instance("s-1", **change)))[1] == [a.backend]
+    assert first.apply(line(4, instance("s-1", hostPort="127.0.0.2:9000", startedAtMs=5)))[1] == []
 
 
-def test_two_ids_of_one_number_are_kept_apart(monkeypatch) -> None:
-    class Same:
-        def __init__(self, *_args, **_more) -> None: ...
+def test_ids_with_equal_hashes_get_different_numbers(monkeypatch) -> None:
+    class CollidingHash:
+        def __init__(self, *_args, **_options) -> None: ...
 
         def digest(self) -> bytes:
             return b"\0\0\0\0\0\7"
 
-    monkeypatch.setattr("tamarindfold.platform.registry.blake2b", Same)
-    b = book()
-    entries = b.take(line(1, one("s-1"), one("s-2", 9001), reset=True))[0].entries
+    monkeypatch.setattr("tamarindfold.platform.registry.blake2b", CollidingHash)
+    directory = new_directory()
+    entries = directory.apply(line(1, instance("s-1"), instance("s-2", 9001), reset=True))[0].entries
     assert [e.backend for e in entries] == [7, 8]
 
 
-def test_the_book_does_not_grow_with_those_that_come_and_go() -> None:
-    b = book()
+def test_directory_does_not_grow_with_replaced_backends() -> None:
+    directory = new_directory()
     for n in range(500):
-        b.take(
-            line(n, one(f"s-{n}"), reset=True)
+        directory.apply(
+            line(n, instance(f"s-{n}"), reset=True)
             if n % 2
-            else line(n, one(f"s-{n}"), one(f"s-{n - 1}", lifecycle="left"))
+            else line(n, instance(f"s-{n}"), instance(f"s-{n - 1}", lifecycle="left"))
         )
-    assert len(b.entries) <= 2 and len(b.numbers) <= 2
+    assert len(directory.entries) <= 2 and len(directory.numbers) <= 2
 
 
 @pytest.mark.parametrize(
@@ -389,21 +395,21 @@
         b"{",
         b"[]",
         line(1, {"lifecycle": "active"}),
-        line(1, one("s", hostPort="x")),
-        line(1, one("s", weight=-1)),
+        line(1, instance("s", hostPort="x")),
+        line(1, instance("s", weight=-1)),
         b"\xff",
     ],
 )
-def test_a_bad_line_leaves_the_book_as_it_was(bad) -> None:
-    b = book()
-    b.take(line(5, one("s-1"), reset=True))
+def test_invalid_line_leaves_the_directory_unchanged(bad) -> None:
+    directory = new_directory()
+    directory.apply(line(5, instance("s-1"), reset=True))
     with pytest.raises(ValueError, match="registry"):
-        b.take(bad)
-    assert (b.generation, len(b.entries)) == (5, 1)
+        directory.apply(bad)
+    assert (directory.generation, len(directory.entries)) == (5, 1)
 
 
 @given(st.lists(st.integers(1, 40), max_size=6))
-def test_a_watch_is_read_however_it_is_cut(cuts) -> None:
+def test_watch_is_read_with_any_segmentation(cuts) -> None:
     text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(
         b"%x\r\n%s\r\n" % (len(part), part) for part in (b'{"a":1}\n\n{"b"', b":2}\n", b"\n", b'{"c":3}\n')
     )
@@ -415,7 +421,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", b"what is this\r\n\r\n"])
-def test_an_answer_that_is_no_watch_is_an_error(answer) -> None:
+def test_invalid_watch_response_is_an_error(answer) -> None:
     with pytest.raises(ValueError, match="registry"):
         WatchReader().feed(answer)
 
@@ -423,7 +429,7 @@
 # ---- counter
 
 
-def test_a_call_is_one_command_with_a_decimal_amount_and_a_bounded_life() -> None:
+def test_call_is_one_command_with_decimal_amount_and_bounded_ttl() -> None:
     assert AddGet().call(Count(255, -2.5, 99_000)) == (
         b"*4\r\n$6\r\nADDGET\r\n$2\r\nff\r\n$12\r\n-2.500000000\r\n$5\r\n60000\r\n"
     )
@@ -432,7 +438,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reply", "outcome", "spoilt"),
+    ("reply", "outcome", "corrupted"),
     [
         (b"3.5", Outcome.OK, False),
         (Exception("BUSY later"), Outcome.FULL, False),
@@ -442,24 +448,24 @@
         (b"nan", Outcome.ERROR, True),
     ],
 )
-def test_what_a_reply_proves(reply, outcome, spoilt) -> None:
+def test_outcome_of_each_kind_of_counter_reply(reply, outcome, corrupted) -> None:
     p = Pipeline(30, 10, AddGet())
     p.connected = True
     p.call(0, Count(1, 1, 1000))
     (answer,) = p.replies(5, [reply])
-    assert (answer.outcome, p.spoilt) == (outcome, spoilt)
+    assert (answer.outcome, p.corrupted) == (outcome, corrupted)
 
 
-def test_what_keeps_a_connection_open_takes_nobodys_reply() -> None:
+def test_ping_does_not_take_the_reply_of_a_call() -> None:
     p = Pipeline(30, 10, AddGet())
     p.connected = True
     assert p.ping(0) == b"*1\r\n$4\r\nPING\r\n"
     p.call(1, Count(7, 1, 1000))
     assert [(a.name, a.total) for a in p.replies(2, [b"PONG", b"4"])] == [(7, 4.0)]
-    assert p.dropped == 0 and not p.calls
+    assert p.late_replies == 0 and not p.calls
 
 
-def test_backoff_begins_at_once_doubles_and_is_bounded() -> None:
+def test_backoff_starts_at_zero_doubles_and_is_bounded() -> None:
     b = Backoff(0.1, 0.5)
     assert [b.failed() for _ in range(6)] == [0.0, 0.1, 0.2, 0.4, 0.5, 0.5]
     b.well()
--- a/tests/world.py
+++ b/tests/testbed.py
@@ -1,4 +1,4 @@
-"""An ingress of the platform in this process, over loopback sockets, among stand-ins of all that is round it."""
+"""One ingress on the platform, in this process, with stand-ins for backends, discovery and the counter."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import msgspec
 from gevent import socket
 from rig import read_answer, wait_for
-from test_platform import CONFIG, GOOD, SETTINGS
+from test_platform import CONFIG, VALID_HEADERS, SETTINGS
 
-from tamarindfold.node.ingress import Node
+from tamarindfold.node.server import Node
 from tamarindfold.platform import configuration
 from tamarindfold.standins.base import Fault
 from tamarindfold.standins.counter import CounterStandinConfig
@@ -33,8 +33,8 @@
         return sock.getsockname()[1]
 
 
-class World:
-    """Backends, discovery and counter, and an ingress among them."""
+class PlatformTestbed:
+    """An ingress on loopback sockets and the stand-ins that it uses."""
 
     def __init__(self, backends: int = 2, faults: list[Fault] | None = None, **changes: Any) -> None:
         self.backends = [
@@ -43,12 +43,12 @@
         for backend in self.backends:
             backend.start()
         self.discovery = PlatformDiscovery(
-            DiscoveryConfig(instances=[self.entry(i) for i in range(backends)])
+            DiscoveryConfig(instances=[self.instance(i) for i in range(backends)])
         )
         self.counter = PlatformCounter(CounterStandinConfig())
-        self.others: list[Any] = [self.discovery, self.counter]
-        for other in self.others:
-            other.start()
+        self.services: list[Any] = [self.discovery, self.counter]
+        for service in self.services:
+            service.start()
         self.config = CONFIG | {
             "listen": f"127.0.0.1:{free_port()}",
             "discovery": self.discovery.address,
@@ -60,10 +60,11 @@
         self.opened: list[socket.socket] = []
         self.number = 0
 
-    def entry(self, i: int, **changes: Any) -> dict[str, Any]:
+    def instance(self, i: int, **changes: Any) -> dict[str, Any]:
         return {"instanceId": f"s-{i}", "hostPort": self.backends[i].address, "lifecycle": "active"} | changes
 
     def run(self) -> Node:
+        """Start the ingress; return once it has the list and a connection to the counter."""
         self.node = Node(
             configuration.read(msgspec.json.encode(self.config)), lambda event, **_: self.logged.append(event)
         )
@@ -76,9 +77,13 @@
         self.opened.append(sock)
         return sock
 
-    def text(self, cls: str = "quote", body: bytes = b"", **changes: str) -> bytes:
+    def request_bytes(self, cls: str = "quote", body: bytes = b"", **changes: str) -> bytes:
         self.number += 1
-        headers = GOOD | {"X-Call-Id": f"{self.number:016x}", "X-Call-Class": cls, "X-Budget": "3.000"}
+        headers = VALID_HEADERS | {
+            "X-Call-Id": f"{self.number:016x}",
+            "X-Call-Class": cls,
+            "X-Budget": "3.000",
+        }
         headers |= {name.replace("_", "-"): value for name, value in changes.items()}
         head = "".join(f"{k}: {v}\r\n" for k, v in headers.items())
         method, length = ("GET", "") if cls == "quote" else ("POST", f"Content-Length: {len(body)}\r\n")
@@ -86,20 +91,21 @@
 
     def ask(self, sock: socket.socket | None = None, **changes: Any) -> Any:
         sock = sock or self.connect()
-        sock.sendall(self.text(**changes))
+        sock.sendall(self.request_bytes(**changes))
         return read_answer(sock)
 
-    def came(self) -> list[dict[str, Any]]:
-        return [e for b in self.backends for e in b.ledger.of("came")]
+    def received(self) -> list[dict[str, Any]]:
+        """The requests that the backends have received."""
+        return [entry for backend in self.backends for entry in backend.ledger.of("came")]
 
     def stop(self) -> None:
         for sock in self.opened:
             sock.close()
         if self.node is not None:
             self.node.listener.close()
-            gevent.killall(self.node.chores)
+            gevent.killall(self.node.greenlets)
             self.node.watch.stop()
             self.node.counter.stop()
             self.node.timers.stop()
-        for standin in [*self.backends, *self.others]:
+        for standin in [*self.backends, *self.services]:
             standin.stop()
