--- a/tamarindfold/cli/serve.py
+++ b/tamarindfold/cli/serve.py
@@ -28,17 +28,17 @@
     """Run one gateway until SIGTERM; it then finishes what it holds and exits 0."""
     config = read(file)
     from tamarindfold.cli import lifeline
-    from tamarindfold.ingress.agreed import Agreed, NotAgreed
+    from tamarindfold.ingress.managed import ManagedIngress, NoAgreedSettings
     from tamarindfold.ingress.logs import logger
     from tamarindfold.ingress.server import Ingress
 
-    agreed: Agreed | None = None
+    agreed: ManagedIngress | None = None
     if isinstance(config, InstanceConfig):
         log = logger(config.log.level, instance=config.agreement.name)
         try:
-            agreed = Agreed(config, log)
-            ingress = agreed.begin()
-        except (OSError, ValueError, NotAgreed) as error:
+            agreed = ManagedIngress(config, log)
+            ingress = agreed.create()
+        except (OSError, ValueError, NoAgreedSettings) as error:
             raise ConfigError(f"{file}: agreement: {error}") from error
     else:
         log = logger(config.log.level, instance=config.instance.index)
@@ -60,9 +60,9 @@
         lines.append(f"admin on {ingress.admin.host}:{ingress.admin.port}")
     lifeline.until_stopped(*lines)
     if not ingress.stop():
-        log("ingress.stopped_with_requests_held", held=ingress.held)
+        log("ingress.stopped_with_requests_held", held=ingress.in_flight)
     if agreed is not None:
-        agreed.end()  # it acts no more, and may say so
+        agreed.leave()  # it acts no more, and may say so
 
 
 @click.command()
--- a/tamarindfold/ingress/admin.py
+++ b/tamarindfold/ingress/admin.py
@@ -1,7 +1,7 @@
-"""Health and counts on a listener and threads of their own, outside the loop that carries the load.
+"""Health and counters over HTTP, on a listener and threads separate from the event loop.
 
-gevent does not patch this process, so these are the system's threads and sockets: they answer while the loop
-is busy or stands still, and tell that it does. They only read.
+gevent does not patch this process, so these are system threads and sockets: they answer, and report it, while
+the event loop is busy or blocked. They only read the gateway's state.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 
 from tamarindfold.config.model import Admin as AdminConfig
 
-QUIET_S = 2.0  # a caller that says nothing is let go
+READ_TIMEOUT_S = 2.0
 
 
-class Watched(Protocol):
-    """What is told of: a gateway that runs."""
+class ObservedGateway(Protocol):
+    """What the admin endpoints need of a running gateway."""
 
-    turned_at: float  # when its loop turned last, by the monotonic clock, in seconds
+    last_loop_turn_s: float  # when its event loop last ran; monotonic clock, in seconds
 
     @property
-    def ready(self) -> str:
-        """Why requests can't be decided now; empty where they can."""
+    def why_not_ready(self) -> str:
+        """Why requests can't be decided now; empty if they can."""
 
     def counts(self) -> dict[str, Any]:
-        """All counters, by part."""
+        """All counters, by component."""
 
 
 class Admin:
-    """GET /health (the loop turns), /ready (requests can be decided), /counts."""
+    """GET /health (the event loop runs), /ready (requests can be decided), /counts."""
 
-    def __init__(self, config: AdminConfig, ingress: Watched) -> None:
+    def __init__(self, config: AdminConfig, ingress: ObservedGateway) -> None:
         self.config, self.ingress, self.host = config, ingress, config.host
         self.server: _Server | None = None
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port it listens on."""
         assert self.server is not None
         port: int = self.server.server_address[1]
         return port
 
     def start(self) -> None:
-        """Open the listener; OSError where it can't be had."""
+        """Open the listener; raises OSError if its address can't be bound."""
         self.server = _Server(self)
         threading.Thread(target=self.server.serve_forever, kwargs={"poll_interval": 0.1}, daemon=True).start()
 
@@ -58,17 +58,17 @@
             self.server.server_close()
 
     def answer(self, path: str) -> tuple[int, dict[str, Any]]:
-        """Status and body for a path."""
+        """Status and body of the response for a path."""
         if path == "/health":
-            age_ms = (time.monotonic() - self.ingress.turned_at) * 1000
-            turns = age_ms < self.config.stale_ms
-            return (200 if turns else 503), {
-                "status": "ok" if turns else "the loop stands still",
+            age_ms = (time.monotonic() - self.ingress.last_loop_turn_s) * 1000
+            running = age_ms < self.config.stale_ms
+            return (200 if running else 503), {
+                "status": "ok" if running else "the loop stands still",
                 "turned_ms_ago": round(age_ms),
             }
         if path == "/ready":
-            why = self.ingress.ready
-            return (503 if why else 200), {"status": why or "ready"}
+            reason = self.ingress.why_not_ready
+            return (503 if reason else 200), {"status": reason or "ready"}
         if path == "/counts":
             return 200, self.ingress.counts()
         return 404, {"error": "GET /health, /ready or /counts"}
@@ -80,11 +80,11 @@
 
     def __init__(self, admin: Admin) -> None:
         self.admin = admin
-        self.places = threading.BoundedSemaphore(admin.config.connections)
+        self.slots = threading.BoundedSemaphore(admin.config.connections)
         super().__init__((admin.config.host, admin.config.port), _Handler)
 
     def process_request(self, request: Any, client_address: Any) -> None:
-        if not self.places.acquire(blocking=False):
+        if not self.slots.acquire(blocking=False):
             return self.shutdown_request(request)
         super().process_request(request, client_address)
 
@@ -92,15 +92,15 @@
         try:
             super().process_request_thread(request, client_address)
         finally:
-            self.places.release()
+            self.slots.release()
 
     def handle_error(self, request: socket | tuple[bytes, socket], client_address: Any) -> None:
-        """A caller that went away is no event."""
+        """Ignores a client that disconnected."""
 
 
 class _Handler(BaseHTTPRequestHandler):
     server: _Server
-    timeout = QUIET_S
+    timeout = READ_TIMEOUT_S
 
     def do_GET(self) -> None:
         status, body = self.server.admin.answer(self.path.partition("?")[0])
@@ -113,4 +113,4 @@
             self.wfile.write(data)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """No line for each call."""
+        """Suppresses the log line for each request."""
--- a/tamarindfold/ingress/admission.py
+++ b/tamarindfold/ingress/admission.py
@@ -1,4 +1,4 @@
-"""A request and its token's claims read into what the module is told; no I/O."""
+"""Reads a request's headers and its token's claims into the parameters of an admission decision; no I/O."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 _NAME = re.compile(rb"[A-Za-z0-9._-]{1,64}")
 _NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,3})?")
 _KEY = re.compile(rb"[\x21-\x7e]{1,255}")
-_OWN_WORD = frozenset(
+_GATEWAY_HEADERS = frozenset(
     (names.REQUEST, names.UNITS, names.RETRY, names.TIME_LEFT, names.IDEMPOTENCY_KEY, b"authorization")
 )
-_NOT_PASSED = HOP_BY_HOP | {b"host", b"authorization", b"expect"}
-CUSTOMER_BITS = 33  # what the module's counter names have room for
+_NOT_FORWARDED = HOP_BY_HOP | {b"host", b"authorization", b"expect"}
+CUSTOMER_BITS = 33  # what the decision module's counter names have room for
 
 
 class Forbidden(Exception):
-    """A good token that does not open this door: 403."""
+    """The credential is valid but does not permit this request: 403."""
 
     def __init__(self, detail: str, scope: str = "") -> None:
         super().__init__(detail)
@@ -34,41 +34,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """What the headers say. Time in milliseconds."""
+class RequestParameters:
+    """What the route and the headers of a request say, with defaults filled in."""
 
     cls: int
-    scopes: frozenset[str]
+    scopes: frozenset[str]  # needed by the route
     name: bytes
     units: float
     retry: bool
     time_left_ms: float
     authorization: bytes | None
-    key: bytes | None  # an API key in a header of its own
-    headers: Headers  # those that go on to a server
+    key: bytes | None  # an API key in its own header
+    headers: Headers  # to be forwarded to a backend
 
 
 @lru_cache(maxsize=65_536)
 def customer_number(text: str) -> int:
-    """The module's number of a customer: the same at every gateway. Two names in 2^33 may share one."""
+    """Number of a customer, the same at every gateway. Two names collide with a probability of 2^-33."""
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") >> (64 - CUSTOMER_BITS)
 
 
-def passed_on(headers: Headers) -> Headers:
-    """The headers that go to the other side: neither those of one connection nor the gateway's own."""
+def forwardable_headers(headers: Headers) -> Headers:
+    """Headers to pass on: without hop-by-hop headers and without the gateway's own."""
     kept = [
-        pair for pair in headers if pair[0] not in _NOT_PASSED and not pair[0].startswith(names.OWN_PREFIX)
+        pair for pair in headers if pair[0] not in _NOT_FORWARDED and not pair[0].startswith(names.OWN_PREFIX)
     ]
     for name, value in headers:
         if name == b"connection" and value.lower() not in (b"close", b"keep-alive"):
-            named = {word.strip().lower() for word in value.split(b",")}
-            kept = [pair for pair in kept if pair[0] not in named]
+            listed = {option.strip().lower() for option in value.split(b",")}
+            kept = [pair for pair in kept if pair[0] not in listed]
     return kept
 
 
 class Admission:
-    """The documented headers and claims, with their defaults."""
+    """Reads the documented headers and claims and applies their defaults."""
 
     def __init__(self, config: GatewayConfig) -> None:
         self.router = Router(config)
@@ -78,14 +78,14 @@
         self.plans = {plan.name: i for i, plan in enumerate(config.plans)}
         self.width = config.customers.width or config.instance.gateways
         self.key_header = config.identity.key_header.encode() if config.identity else b""
-        self.own = _OWN_WORD | {self.key_header}
+        self.gateway_headers = _GATEWAY_HEADERS | {self.key_header}
 
-    def read(self, request: Request) -> Asked:
-        """Class, units, retry mark and time left; Rejected with a 4xx where a header is wrong."""
+    def read(self, request: Request) -> RequestParameters:
+        """The parameters of a request; raises Rejected with a 4xx status if a header is invalid."""
         target = self.router.find(request.method, request.target)
         found: dict[bytes, bytes] = {}
         for name, value in request.headers:
-            if name in self.own:
+            if name in self.gateway_headers:
                 if name in found:
                     raise Rejected(400, f"header {name.decode()} is given twice")
                 found[name] = value
@@ -101,25 +101,25 @@
         if units > self.customers.most_units:
             raise Rejected(400, f"tamarind-units: over {self.customers.most_units}")
         deadline = self.deadlines[target.cls]
-        left = min(deadline, self._number(found, names.TIME_LEFT, deadline))
-        kept = passed_on(request.headers)
+        time_left = min(deadline, self._number(found, names.TIME_LEFT, deadline))
+        kept = forwardable_headers(request.headers)
         if self.key_header:
             kept = [pair for pair in kept if pair[0] != self.key_header]
-        return Asked(
+        return RequestParameters(
             target.cls,
             target.scopes,
             name,
             units,
             retry == b"1",
-            left,
+            time_left,
             found.get(b"authorization"),
             found.get(self.key_header),
             kept,
         )
 
-    def who(self, claims: Claims, scopes: frozenset[str]) -> tuple[int, int]:
-        """Customer and plan of a token; Forbidden where it has not the scope or names neither."""
-        self.scoped(claims, scopes)
+    def customer_and_plan(self, claims: Claims, scopes: frozenset[str]) -> tuple[int, int]:
+        """Numbers of a token's customer and plan; raises Forbidden if a scope or one of them is missing."""
+        self.require_scopes(claims, scopes)
         customer = claims.named(self.customers.customer_claim)
         if not customer:
             raise Forbidden("the token names no customer")
@@ -129,8 +129,8 @@
         return customer_number(customer), self.plans[plan]
 
     @staticmethod
-    def scoped(claims: Claims, scopes: frozenset[str]) -> None:
-        """Forbidden where a token lacks a scope that its route needs."""
+    def require_scopes(claims: Claims, scopes: frozenset[str]) -> None:
+        """Raises Forbidden if the token lacks a scope that its route needs."""
         if not scopes <= claims.scopes:
             raise Forbidden("the token lacks a scope", " ".join(sorted(scopes)))
 
--- a/tamarindfold/ingress/connection.py
+++ b/tamarindfold/ingress/connection.py
@@ -1,14 +1,16 @@
-"""Client connections: one greenlet each, requests read one after another, each answered once.
-
-How a request is admitted and how answers are worded differ between fronts; the loop is here, once.
-
-Who owns what, and in which order:
-- A connection counts from its acceptance on (`Listener.clients`), not from when its greenlet begins.
-- Only its greenlet reads for requests, and only its greenlet ends it. Timers, a front that stops and one that
-  needs room `hurry` it: it looks at the socket once more without waiting and takes what lies there; what does
-  not was never read, and the client may send it once more.
-- While a request waits, whoever is about to write its first byte to a server looks at the client's socket
-  first (`look`), as the loop does when something comes there; between that look and the write nothing yields.
+"""Client connections: one greenlet each, which reads requests in turn and writes one response to each.
+
+All fronts (listening endpoints) share the request loop; how a request is admitted and how responses are
+rendered differs between them.
+
+Ownership and ordering:
+- A connection counts as open from acceptance on (`BaseFront.clients`), not from the start of its greenlet.
+- Only its greenlet reads requests and closes the connection. Timers, a front that shuts down and one that
+  needs a free connection call `stop_waiting`: the greenlet then reads once more without blocking and serves
+  what was in the socket buffer. Later bytes are never read, so the client may safely repeat that request.
+- While a request waits for its response, `check_client` looks for a disconnect: when the socket becomes
+  readable, and right before the first byte of each attempt is written to a backend. Nothing yields between
+  that check and the write.
 """
 
 from __future__ import annotations
@@ -30,13 +32,18 @@
 from tamarindfold.ingress.timers import Timers
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-LINGER_S = 0.5  # after an answer that ends the connection early: read on this long, or the client loses it
-OVERDUE_PART = 3.0  # the margin's part left when the answer is written without the module
-READ_BYTES, LOOKS = 65_536, 16  # of a read; reads of one look: more than a client's socket holds unread
+# After an early last response input is read for this long: unread input would reset the connection, and the
+# client would lose the response.
+LINGER_S = 0.5
+# Where the decision module is late, the connection answers by itself when the answer margin divided by this
+# is left before the deadline.
+OVERDUE_MARGIN_DIVISOR = 3.0
+READ_BYTES = 65_536
+MAX_READS_PER_CHECK = 16  # of READ_BYTES each: more than a client's socket buffer holds
 
 
-class Bounds(Protocol):
-    """A front's bounds for safety: bytes, counts, milliseconds."""
+class ConnectionLimits(Protocol):
+    """Safety limits of a front, in bytes, counts or milliseconds."""
 
     @property
     def open_requests(self) -> int: ...
@@ -60,76 +67,79 @@
     def answer_margin_ms(self) -> float: ...
 
 
-class Words(Protocol):
-    """How a front words its answers."""
+class ResponseRenderer(Protocol):
+    """Renders the responses of a front."""
 
     def rejected(self, fault: Rejected, name: bytes = b"", keep_alive: bool = False) -> bytes:
-        """A request that was not taken."""
+        """The response to a malformed or unacceptable request."""
 
     def final(self, answer: Final, name: bytes, keep_alive: bool, no_body: bool = False) -> bytes:
-        """The module's final answer."""
+        """The response for the final outcome of a request."""
 
 
-class Listener:
-    """What the connections of one front share."""
+class BaseFront:
+    """State that the connections of one front share."""
 
     def __init__(
         self,
-        limits: Bounds,
+        limits: ConnectionLimits,
         core: Core,
-        words: Words,
+        renderer: ResponseRenderer,
         timers: Timers,
         clock: Callable[[], float],
         log: Callable[..., None],
         connections: int,
     ) -> None:
-        """connections: so many are accepted at the most."""
-        self.limits, self.core, self.words = limits, core, words
+        """connections: the maximum number of accepted connections."""
+        self.limits, self.core, self.renderer = limits, core, renderer
         self.timers, self.clock, self.log = timers, clock, log
-        self.stopping = False  # each answer says that its connection ends
-        self.done = False  # nothing is waited for any more: what lies on a socket is taken, and no more
-        self.connection: Callable[[Any, socket.socket, str], ClientConnection] = ClientConnection
+        self.stopping = False  # every response announces that its connection closes
+        self.no_wait = False  # connections read what their socket buffer holds, without waiting for more
+        self.connection_type: Callable[[Any, socket.socket, str], ClientConnection] = ClientConnection
         self.clients = GreenletPool(connections)  # from acceptance to close
-        self.held = 0  # requests taken and not yet answered
-        self.reading: dict[ClientConnection, None] = {}  # connections that wait for a request or for its rest
-        self.idle: dict[ClientConnection, float] = {}  # those of them without a byte of it, and since when
+        self.in_flight = 0  # requests read and not yet answered
+        self.reading: dict[ClientConnection, None] = {}  # connections waiting for a request or its remainder
+        self.idle: dict[ClientConnection, float] = {}  # those without a byte of it yet, and since when
         self.counts = dict.fromkeys(
             ("connections", "requests", "rejected", "full", "overdue", "ahead", "ahead_full"), 0
         )
 
     def serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        """One client connection, from accept to close."""
+        """Serve one client connection from acceptance to close."""
         self.counts["connections"] += 1
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = self.connection(self, sock, address[0])
+        connection = self.connection_type(self, sock, address[0])
         try:
             connection.run()
         except OSError:
-            pass  # the client is gone
+            pass  # the client disconnected
         finally:
             connection.close()
 
-    def end_idle(self) -> None:
-        """End the idle connections that had an answer; those whose next request has come serve it first."""
+    def close_idle_clients(self) -> None:
+        """Close idle connections that had a response; one whose next request has arrived serves it first."""
         for connection in [c for c in self.idle if c.answered]:
-            connection.hurry()
+            connection.stop_waiting()
 
     def stop(self, server: StreamServer) -> None:
-        """Take nothing new. First each connection looks at its socket for the last time, so that idle ones
-        give up their places; then what waits in the accept queue is taken, since closing the listener
-        would reset it: those find `done` when they begin. No yield but for a full `clients`."""
-        self.stopping = self.done = True
+        """Stop accepting connections, after serving what has arrived already.
+
+        Open connections read once more without waiting, so that idle ones free their places. Then the accept
+        queue is emptied, since closing the listener would reset the connections in it; they start with
+        `no_wait` set. Yields only while the pool `clients` is full.
+        """
+        self.stopping = self.no_wait = True
         if server.closed:
             return
         for connection in list(self.reading):
-            connection.hurry()
+            connection.stop_waiting()
         server.stop_accepting()
         while True:
             try:
                 accepted = server.do_read()
             except ConnectionAbortedError:
-                continue  # that one left while it waited
-            except OSError as error:  # no descriptor for it: closing resets it
+                continue  # the client disconnected while queued
+            except OSError as error:  # out of file descriptors: closing the listener resets the rest
                 self.log("front.queue_left", reason=str(error))
                 break
             if accepted is None:
@@ -139,21 +149,24 @@
 
 
 class ClientConnection:
-    """One client connection: requests read one after another, each answered once."""
+    """One client connection: reads requests in turn and writes one response to each."""
 
-    def __init__(self, front: Listener, sock: socket.socket, peer: str) -> None:
+    def __init__(self, front: BaseFront, sock: socket.socket, peer: str) -> None:
         limits = front.limits
         self.front, self.sock, self.limits, self.peer = front, sock, limits, peer
         self.reader = RequestReader(limits.header_bytes, limits.header_count, limits.body_bytes)
-        self.watcher: Any = None  # tells, while an answer is awaited, that the client left
-        self.exchange: Exchange | None = None
-        self.left = self.late = self.answered = False
-        self.ahead = False  # more came before the answer was written
-        self.early: list[bytes] = []  # of it, what is kept for the next request, and when the last came
-        self.early_bytes, self.early_ms = 0, 0.0
+        self.watcher: Any = None  # reports readability while a response is pending
+        self.exchange: Exchange | None = None  # the request whose response is pending
+        self.client_gone = False
+        self.no_wait = False  # read what the socket buffer holds, then close
+        self.answered = False  # at least one response was written
+        self.pipelined = False  # the client sent more before the response to its request
+        self.pipelined_data: list[bytes] = []  # bytes kept for the next request
+        self.pipelined_bytes = 0
+        self.pipelined_last_byte_ms = 0.0
         self.accepted_ms = front.clock()
         self.request = Request()
-        self.began_ms = self.came_ms = 0.0  # when the first, the last bytes of the message came
+        self.first_byte_ms = self.last_byte_ms = 0.0  # arrival of the current message's bytes
 
     def close(self) -> None:
         if self.watcher is not None:
@@ -162,64 +175,64 @@
         self.sock.close()
 
     def run(self) -> None:
-        """Read, answer, and so on until one side is done."""
+        """Serve requests until either side ends the connection."""
         front = self.front
         while True:
             try:
-                request = self._next()
+                request = self._read_request()
                 if request is None:
                     return
                 front.counts["requests"] += 1
-                front.held += 1
+                front.in_flight += 1
                 try:
                     self._respond(request)
                 finally:
-                    front.held -= 1
+                    front.in_flight -= 1
             except Rejected as fault:
                 front.counts["rejected"] += 1
-                self._last_words(front.words.rejected(fault))
+                self._send_and_close(front.renderer.rejected(fault))
                 return
-            if self.left:
+            if self.client_gone:
                 return
             self.answered = True
-            if not self.keep:
-                if self.ahead:
-                    self._linger()
+            if not self.keep_alive:
+                if self.pipelined:
+                    self._lingering_close()
                 return
 
     def _respond(self, request: Request) -> None:
-        """Answer one request; Rejected where it is owed nothing but the reason."""
+        """Answer one request; raises Rejected if the connection must end with an error response."""
         self.request = request
-        answer = self._answer(request)
-        if self.left:
+        response = self._handle(request)
+        if self.client_gone:
             return
         try:
-            sent = self.sock._sock.send(answer)
+            sent = self.sock._sock.send(response)
         except BlockingIOError:
-            sent = 0  # earlier answers were not read: this one has no more time for it than any other
-        if sent < len(answer):
+            sent = 0  # the send buffer is full of unread responses; the write time-out below applies
+        if sent < len(response):
             self.sock.settimeout(self.limits.write_timeout_ms / 1000)
-            self.sock.sendall(memoryview(answer)[sent:])
+            self.sock.sendall(memoryview(response)[sent:])
             self.sock.settimeout(None)
 
     @property
-    def keep(self) -> bool:
-        """Whether the connection stays after this answer: a gateway that stops says so with the answer."""
+    def keep_alive(self) -> bool:
+        """Whether the connection stays open after this response; a stopping gateway closes it."""
         return self.request.keep_alive and not self.front.stopping
 
     # ---- reading
 
-    def _next(self) -> Request | None:
-        """The next whole request; None where the client is done. Each phase has a time of its own."""
+    def _read_request(self) -> Request | None:
+        """The next complete request; None if the client is done. Each phase has its own time-out."""
         reader, front = self.reader, self.front
         if reader.ready:
             return reader.ready.popleft()
         if reader.closing:
             return None
-        self.late = front.done
+        self.no_wait = front.no_wait
         began = front.clock()
-        timer = front.timers.schedule(began + self.phase_ms(0), self.hurry)
-        phase = continued = 0  # 0 idle, 1 header, 2 body
+        timer = front.timers.schedule(began + self.phase_timeout_ms(0), self.stop_waiting)
+        phase = continued = 0  # phases: 0 idle, 1 header, 2 body
         front.reading[self] = None
         front.idle[self] = began
         try:
@@ -227,75 +240,82 @@
                 if reader.wants_continue and not continued:
                     continued = 1
                     self.sock.sendall(CONTINUE)
-                data = self._more()
+                data = self._read_bytes()
                 if not data:
-                    if not self.late or not phase:
+                    if not self.no_wait or not phase:
                         return None
-                    if (request := self._without_body()) is not None:
+                    if (request := self._request_without_body()) is not None:
                         return request
                     raise Rejected(408, "the request took too long to come")
                 if not phase:
                     front.idle.pop(self, None)
-                    self.began_ms = self.came_ms
+                    self.first_byte_ms = self.last_byte_ms
                 reader.feed(data)
-                if not reader.ready and (now_in := 2 if reader.in_body else 1) > phase:
-                    phase = now_in
-                    self.late = front.done
+                if not reader.ready and (current := 2 if reader.in_body else 1) > phase:
+                    phase = current
+                    self.no_wait = front.no_wait
                     front.timers.cancel(timer)
-                    timer = front.timers.schedule(front.clock() + self.phase_ms(phase), self.hurry)
+                    timer = front.timers.schedule(
+                        front.clock() + self.phase_timeout_ms(phase), self.stop_waiting
+                    )
         finally:
             front.timers.cancel(timer)
             front.reading.pop(self, None)
             front.idle.pop(self, None)
         return reader.ready.popleft()
 
-    def _more(self) -> bytes:
-        """More of what the client sends; empty where it ended, or where none lies there in a hurry."""
-        if self.early:
-            data, self.came_ms = b"".join(self.early), self.early_ms
-            self.early, self.early_bytes = [], 0
+    def _read_bytes(self) -> bytes:
+        """Next bytes from the client, those first that `check_client` has kept for this request.
+
+        Empty at the end of the stream, or if `no_wait` is set and nothing is there.
+        """
+        if self.pipelined_data:
+            data, self.last_byte_ms = b"".join(self.pipelined_data), self.pipelined_last_byte_ms
+            self.pipelined_data, self.pipelined_bytes = [], 0
             return data
-        while not self.late:
+        while not self.no_wait:
             try:
-                data, self.came_ms = receive(self.sock, READ_BYTES, self.front.clock)
+                data, self.last_byte_ms = receive(self.sock, READ_BYTES, self.front.clock)
                 return data
             except TimeoutError:
-                pass  # a hurry; one that is over by now, since bytes came in that very turn, is none
+                pass  # raised by stop_waiting; void if bytes came in the same loop turn and reset no_wait
         try:
-            data, self.came_ms = receive(self.sock._sock, READ_BYTES, self.front.clock)
+            data, self.last_byte_ms = receive(self.sock._sock, READ_BYTES, self.front.clock)
         except BlockingIOError:
             return b""
         return data
 
-    def phase_ms(self, phase: int) -> float:
-        """How long each phase may take: idle, header, body."""
+    def phase_timeout_ms(self, phase: int) -> float:
+        """Time allowed for a phase of reading: 0 idle, 1 header, 2 body."""
         limits = self.limits
         return (limits.idle_timeout_ms, limits.header_timeout_ms, limits.body_timeout_ms)[phase]
 
-    def _without_body(self) -> Request | None:
-        """The request of which only the body is missing, where it can be answered without."""
+    def _request_without_body(self) -> Request | None:
+        """The request whose body did not arrive, if it can be answered without it."""
         return None
 
-    def hurry(self) -> None:
-        """Called when a phase's time is up, or when the front wants an end: wakes the reader for a last look,
-        and leaves the socket whole for an answer."""
-        self.late = True
+    def stop_waiting(self) -> None:
+        """Wake the reader for one last non-blocking read; the socket stays open for a response.
+
+        Called when the time-out of a phase expires, or when the front wants the connection to end.
+        """
+        self.no_wait = True
         gevent.get_hub().cancel_wait(self.sock._read_event, TimeoutError())
 
-    def _last_words(self, answer: bytes) -> None:
-        """Answer and close; what the client still sends is read for a moment, or a reset eats the answer."""
+    def _send_and_close(self, response: bytes) -> None:
+        """Send a last response and close without a reset, which could discard the response."""
         self.sock.settimeout(LINGER_S)
-        self.sock.sendall(answer)
-        self._linger()
+        self.sock.sendall(response)
+        self._lingering_close()
 
-    def _linger(self) -> None:
+    def _lingering_close(self) -> None:
         self.sock.shutdown(socket.SHUT_WR)
         with gevent.Timeout(LINGER_S, False), suppress(OSError):
             while self.sock.recv(65536):
                 pass
 
-    def unread(self) -> bool:
-        """Whether bytes lie on the socket that its greenlet has not come to read."""
+    def has_unread_bytes(self) -> bool:
+        """Whether the socket buffer holds bytes that the connection's greenlet has not read."""
         try:
             return bool(self.sock._sock.recv(1, socket.MSG_PEEK))
         except OSError:
@@ -303,86 +323,89 @@
 
     # ---- answering
 
-    def _answer(self, request: Request) -> bytes:
-        entered = self._enter(request, self.peer)
-        return entered if isinstance(entered, bytes) else self._decided(entered)
+    def _handle(self, request: Request) -> bytes:
+        admitted = self._admit(request, self.peer)
+        return admitted if isinstance(admitted, bytes) else self._process(admitted)
 
-    def _enter(self, request: Request, peer: str) -> Exchange | bytes:
-        """The request ready for the module, or the answer where it does not come that far; Rejected."""
+    def _admit(self, request: Request, peer: str) -> Exchange | bytes:
+        """The exchange for the decision module, or a response if the request ends here; raises Rejected."""
         raise NotImplementedError
 
-    def _decided(self, exchange: Exchange) -> bytes:
-        """Hand the request to the module and wait for its answer, or for the client to leave."""
+    def _process(self, exchange: Exchange) -> bytes:
+        """Hand the request to the decision module; wait for the outcome or for the client to disconnect."""
         front = self.front
-        self._watch(exchange)
+        self._watch_client(exchange)
         sender = front.core.sender
         assert sender is not None
-        # the module answers in time; should it not, the client still gets its one answer
-        overdue = exchange.deadline_ms - self.limits.answer_margin_ms / OVERDUE_PART
+        # The decision module answers in time; if it does not, the client still gets exactly one response.
+        overdue = exchange.deadline_ms - self.limits.answer_margin_ms / OVERDUE_MARGIN_DIVISOR
         try:
             front.core.submit(exchange)
             while exchange.pending_attempts or exchange.final is None:
                 if exchange.pending_attempts:
                     sender.run(exchange.pending_attempts.pop(0))
-                elif not self._wait(exchange, overdue):
+                elif not self._wait_for_progress(exchange, overdue):
                     front.counts["overdue"] += 1
                     front.log("request.overdue", request=exchange.name.decode())
                     front.core.withdraw(exchange, Failed(True))
         finally:
-            self._unwatch(exchange)
-            if exchange.final is None:  # this greenlet is being ended
+            self._unwatch_client(exchange)
+            if exchange.final is None:  # this greenlet is being killed
                 front.core.withdraw(exchange, ClientLeft())
         assert exchange.final is not None
-        return front.words.final(exchange.final, exchange.name, self.keep, exchange.method == "HEAD")
+        return front.renderer.final(exchange.final, exchange.name, self.keep_alive, exchange.method == "HEAD")
 
-    def _wait(self, exchange: Exchange, until: float) -> bool:
-        """Wait for an attempt to carry out or for the answer; False where neither came."""
+    def _wait_for_progress(self, exchange: Exchange, until: float) -> bool:
+        """Wait for an attempt to run or for the final outcome; False if neither came by `until`."""
         if exchange.wakeup is None:
             exchange.wakeup = Event()
         exchange.wakeup.clear()
         woken: bool = exchange.wakeup.wait(max(0.0, until - self.front.clock()) / 1000)
         return woken
 
-    def _watch(self, exchange: Exchange) -> None:
-        """From here on the client's leaving ends this request."""
-        self.exchange, self.ahead = exchange, False
-        exchange.check_client = self.look
+    def _watch_client(self, exchange: Exchange) -> None:
+        """From now on a disconnect of the client withdraws this request."""
+        self.exchange, self.pipelined = exchange, False
+        exchange.check_client = self.check_client
         if self.watcher is None:
             self.watcher = gevent.get_hub().loop.io(self.sock.fileno(), 1)
-        self.watcher.start(self.look)
+        self.watcher.start(self.check_client)
 
-    def _unwatch(self, exchange: Exchange) -> None:
+    def _unwatch_client(self, exchange: Exchange) -> None:
         self.watcher.stop()
         self.exchange = exchange.check_client = None
 
-    def look(self) -> None:
-        """Take what lies on the client's socket; an end or a reset, also behind bytes: the client has left.
+    def check_client(self) -> None:
+        """Read what the client's socket holds; an end of stream or a reset means that the client has left.
 
-        Called by the loop when something came, and before the first byte of each attempt. What came ahead of
-        its time is kept for its turn, if there will be one; beyond a bound the rest stays on the socket, and
-        an end behind it is seen only when that is read.
+        Called by the event loop when the socket is readable, and before the first byte of each attempt.
+        Pipelined bytes are kept for the next request if the connection stays open. Above `ahead_bytes` the
+        rest stays in the socket buffer, and a disconnect behind it is noticed only once it is read.
         """
         try:
-            for _ in range(LOOKS):
-                if self.early_bytes > self.limits.ahead_bytes:
+            for _ in range(MAX_READS_PER_CHECK):
+                if self.pipelined_bytes > self.limits.ahead_bytes:
                     self.front.counts["ahead_full"] += 1
                     self.watcher.stop()
                     return
-                data, came_ms = receive(self.sock._sock, READ_BYTES, self.front.clock)
+                data, last_byte_ms = receive(self.sock._sock, READ_BYTES, self.front.clock)
                 if not data:
                     break
-                self.front.counts["ahead"] += not self.ahead
-                self.ahead = True
-                if self.keep:
-                    self.early.append(data)
-                    self.early_bytes, self.early_ms = self.early_bytes + len(data), came_ms
+                self.front.counts["ahead"] += not self.pipelined
+                self.pipelined = True
+                if self.keep_alive:
+                    self.pipelined_data.append(data)
+                    self.pipelined_bytes, self.pipelined_last_byte_ms = (
+                        self.pipelined_bytes + len(data),
+                        last_byte_ms,
+                    )
             else:
-                return  # a flood: the loop comes again for the rest
+                return  # a long burst of input: the event loop calls again for the rest
         except BlockingIOError:
-            return  # nothing there, or nothing more: the loop tells when something comes
+            return  # nothing more to read: the event loop calls again on new input
         except OSError:
             pass
-        self.left = True
+        self.client_gone = True
         self.watcher.stop()
         if self.exchange is not None:
             self.front.core.withdraw(self.exchange, ClientLeft())
--- a/tamarindfold/ingress/front.py
+++ b/tamarindfold/ingress/front.py
@@ -1,4 +1,4 @@
-"""The front for clients with a token or a key: who they are is looked up before the module hears of them."""
+"""The proxy front, for clients with a token or API key, which is verified before a request is decided."""
 
 from __future__ import annotations
 
@@ -8,127 +8,133 @@
 from tamarindfold.config.model import GatewayConfig
 from tamarindfold.forward.networks import Networks, Rule
 from tamarindfold.http1.requests import Rejected, Request
-from tamarindfold.ingress import answers
 from tamarindfold.ingress import headers as names
-from tamarindfold.ingress.admission import Asked, Forbidden
-from tamarindfold.ingress.connection import ClientConnection, Listener
+from tamarindfold.ingress import responses
+from tamarindfold.ingress.admission import Forbidden, RequestParameters
+from tamarindfold.ingress.authentication import Authenticator, Unauthorized, VerificationUnavailable
+from tamarindfold.ingress.connection import BaseFront, ClientConnection
 from tamarindfold.ingress.core import Core
-from tamarindfold.ingress.door import Door, Unauthorized, Unchecked
 from tamarindfold.ingress.exchange import Exchange, Refused
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.interface import Why
 
+FULL_RETRY_AFTER_MS = 1000.0
 
-class Pressed(Exception):
-    """The front itself has no time for this request now."""
+
+class Overloaded(Exception):
+    """The front itself has no capacity for this request now."""
 
     def __init__(self, retry_after_ms: float) -> None:
         super().__init__(retry_after_ms)
         self.retry_after_ms = retry_after_ms
 
 
-class Front(Listener):
-    """Serves client connections for one gateway."""
+class Front(BaseFront):
+    """Serves client connections of one gateway."""
 
     def __init__(
         self,
         config: GatewayConfig,
         core: Core,
-        door: Door,
+        authenticator: Authenticator,
         timers: Timers,
         clock: Callable[[], float],
         log: Callable[..., None],
         number: int,
         connections: int,
     ) -> None:
-        super().__init__(config.limits, core, answers, timers, clock, log, connections)
-        self.door = door
-        self.prefix = b"%d-%x-" % (number, int(clock()))
+        super().__init__(config.limits, core, responses, timers, clock, log, connections)
+        self.authenticator = authenticator
+        self.name_prefix = b"%d-%x-" % (number, int(clock()))  # of request names that the gateway assigns
         self.networks = (
             Networks((n.network, Rule(n.refuse, n.zone)) for n in config.networks)
             if config.networks
             else None
         )
-        self.connection = TokenConnection
+        self.connection_type = AuthenticatedConnection
         self.counts |= dict.fromkeys(("unauthorized", "unchecked"), 0)
 
     @property
     def width(self) -> int:
-        """Through how many gateways a customer comes."""
-        return self.door.admission.width
+        """How many gateways the requests of one customer are spread over."""
+        return self.authenticator.admission.width
 
 
-class TokenConnection(ClientConnection):
-    """A connection of a client that shows a credential with each request."""
+class AuthenticatedConnection(ClientConnection):
+    """A connection on which each request carries a credential."""
 
     front: Front
 
-    def _enter(self, request: Request, peer: str) -> Exchange | bytes:
-        """The request ready for the module, or the answer where it does not come that far."""
+    def _admit(self, request: Request, peer: str) -> Exchange | bytes:
+        """Authenticate a request; a response instead of an exchange if it is rejected or refused."""
         front, name = self.front, b""
         try:
-            asked = front.door.admission.read(request)
+            parameters = front.authenticator.admission.read(request)
             front.core.last_request_number = number = front.core.last_request_number + 1
-            name = asked.name or front.prefix + b"%x" % number
-            deadline = self.began_ms + asked.time_left_ms
+            name = parameters.name or front.name_prefix + b"%x" % number
+            deadline = self.first_byte_ms + parameters.time_left_ms
             give_up = deadline - self.limits.answer_margin_ms
-            self._take_up(asked)
+            self._reserve_slot(parameters)
             rule = front.networks.find(peer) if front.networks is not None else None
             if rule is not None and rule.refuse:
                 raise Forbidden("this network is not served")
-            entry = front.door.enter(asked, min(give_up, self._check_by()), peer)
+            principal = front.authenticator.authenticate(
+                parameters, min(give_up, self._verification_deadline_ms()), peer
+            )
         except Rejected as fault:
             front.counts["rejected"] += 1
-            return answers.rejected(fault, name, self.keep)
-        except Pressed as fault:
-            self._in_doubt(name)
-            return answers.final(Refused(fault.retry_after_ms, Why.PRESSURE), name, self.keep)
+            return responses.rejected(fault, name, self.keep_alive)
+        except Overloaded as fault:
+            self._record_unverified(name)
+            return responses.final(Refused(fault.retry_after_ms, Why.PRESSURE), name, self.keep_alive)
         except Unauthorized as fault:
             front.counts["unauthorized"] += 1
-            return answers.unauthorized(fault.status, fault.error, fault.detail, name, self.keep)
+            return responses.unauthorized(fault.status, fault.error, fault.detail, name, self.keep_alive)
         except Forbidden as fault:
             front.counts["unauthorized"] += 1
-            return answers.forbidden(fault, name, self.keep)
-        except Unchecked as fault:
+            return responses.forbidden(fault, name, self.keep_alive)
+        except VerificationUnavailable as fault:
             front.counts["unchecked"] += 1
-            self._in_doubt(name)
-            return answers.refused(
-                503, "Credential not checked", fault.detail, fault.retry_after_ms, name, self.keep
+            self._record_unverified(name)
+            return responses.refused(
+                503, "Credential not checked", fault.detail, fault.retry_after_ms, name, self.keep_alive
             )
-        if front.clock() > deadline:  # the check took all the time there was: nobody waits any more
+        if front.clock() > deadline:  # authentication used up the time: the client has stopped waiting
             front.counts["unchecked"] += 1
-            return answers.refused(503, "Credential not checked", "the time ran out", 1.0, name, self.keep)
+            return responses.refused(
+                503, "Credential not checked", "the time ran out", 1.0, name, self.keep_alive
+            )
         if len(front.core.open_exchanges) >= self.limits.open_requests:
             front.counts["full"] += 1
-            return answers.final(Refused(1000.0, Why.PRESSURE), name, self.keep)
-        headers = [*asked.headers, answers.VIA]
+            return responses.final(Refused(FULL_RETRY_AFTER_MS, Why.PRESSURE), name, self.keep_alive)
+        headers = [*parameters.headers, responses.VIA]
         if rule is not None and rule.zone is not None:
             headers.append((names.ZONE, b"%d" % rule.zone))
         return Exchange(
             number,
             name,
-            asked.cls,
-            entry.customer,
-            entry.plan,
-            asked.units,
+            parameters.cls,
+            principal.customer,
+            principal.plan,
+            parameters.units,
             front.width,
-            asked.retry,
+            parameters.retry,
             deadline,
             give_up,
             request.method,
             request.target,
             headers,
             request.body,
-            entry.until_ms,
-            entry.known,
+            principal.valid_until_ms,
+            principal.known,
         )
 
-    def _take_up(self, asked: Asked) -> None:
-        """Raises Pressed where the front has no time for the request."""
+    def _reserve_slot(self, parameters: RequestParameters) -> None:
+        """Raises Overloaded if the front has no capacity for the request."""
 
-    def _check_by(self) -> float:
-        """When the look at a credential is to be over, beside the request's own time."""
+    def _verification_deadline_ms(self) -> float:
+        """When credential verification must end, besides the request's own deadline."""
         return math.inf
 
-    def _in_doubt(self, name: bytes) -> None:
-        """A request of this name was refused because its credential could not be checked."""
+    def _record_unverified(self, name: bytes) -> None:
+        """Called when the request of this name was refused because its credential was not verified."""
--- a/tamarindfold/ingress/agreed.py
+++ b/tamarindfold/ingress/managed.py
@@ -1,4 +1,5 @@
-"""An ingress whose settings, servers and place are agreed: begun when they are known, and kept at them."""
+"""A gateway whose settings, servers and index are agreed through the keepers: created once these are known,
+and reconfigured whenever they change."""
 
 from __future__ import annotations
 
@@ -19,27 +20,27 @@
 from tamarindfold.ingress.admission import Admission
 from tamarindfold.ingress.server import Ingress
 
-LOOK_S = 0.01
+LEASE_POLL_INTERVAL_S = 0.01
 
 
-class NotAgreed(Exception):
-    """There is nothing to act on: why."""
+class NoAgreedSettings(Exception):
+    """There are no agreed settings to start with; the message says why."""
 
 
-class Agreed:
-    """Follows the agreement and settles the ingress anew whenever what to act on has changed."""
+class ManagedIngress:
+    """Follows the agreement and reconfigures the ingress whenever the settings to act on have changed."""
 
     def __init__(self, local: InstanceConfig, log: Callable[..., None]) -> None:
-        """OSError, ValueError or NotAgreed where the files can't be used."""
+        """Raises OSError, ValueError or NoAgreedSettings if the instance's files are unusable."""
         section, folder = local.agreement, local.instance.state_dir
-        if folder:  # of its own: two instances with one folder would replace each other
+        if folder:  # one folder per instance name: instances that share one would take each other's place
             folder = str(Path(folder) / section.name)
             Path(folder).mkdir(parents=True, exist_ok=True)
         self.local = replace(local, instance=replace(local.instance, state_dir=folder))
         self.log = log
         self.ingress: Ingress | None = None
         self.applied: Acting | None = None
-        self.good: Document | None = None  # the last that could be applied
+        self.last_valid: Document | None = None  # the latest document that could be applied here
         keepers = [split_address(keeper, f"keepers[{i}]") for i, keeper in enumerate(section.keepers)]
         try:
             self.agreement = Agreement(
@@ -48,19 +49,19 @@
                 public_key(Path(section.public_key)),
                 Path(folder) if folder else None,
                 local.upstream.source_address,
-                self.changed,
+                self.on_change,
                 log,
                 local.instance.zone,
             )
         except Taken as error:
-            raise NotAgreed(str(error)) from None
+            raise NoAgreedSettings(str(error)) from None
 
-    def begin(self) -> Ingress:
-        """The ingress, not started yet; NotAgreed where nothing to act on is known in time."""
+    def create(self) -> Ingress:
+        """The ingress, not started yet; raises NoAgreedSettings if there is nothing to act on in time."""
         self.agreement.start()
         with gevent.Timeout(self.local.agreement.join_ms / 1000, False):
-            while not self._may_begin():
-                gevent.sleep(LOOK_S)
+            while not self._has_lease():
+                gevent.sleep(LEASE_POLL_INTERVAL_S)
         acting = self.agreement.acting()
         if acting is None or not acting.share:
             reason = self.agreement.hindrance or (
@@ -69,61 +70,63 @@
                 else f"no place in the roster: {acting.why}"
             )
             self.agreement.stop()
-            raise NotAgreed(reason)
+            raise NoAgreedSettings(reason)
         try:
             config = self._config(acting)
         except ValueError as error:
             self.agreement.stop()
-            raise NotAgreed(f"version {acting.version}: {error}") from None
-        self.good = acting.document
+            raise NoAgreedSettings(f"version {acting.version}: {error}") from None
+        self.last_valid = acting.document
         self.ingress = Ingress(config, self.log, number=crc32(self.agreement.name.encode()))
-        self.ingress.core.on_lease_end = self.changed
-        self.ingress.hindrance, self.ingress.agreement = self._hindrance, self.counts
-        self._settle(acting, True)
+        self.ingress.core.on_lease_end = self.on_change
+        self.ingress.agreement_obstacle, self.ingress.agreement_counts = self._obstacle, self.counts
+        self._apply(acting, True)
         return self.ingress
 
-    def _may_begin(self) -> bool:
-        """Whether there is a place; one without keepers waits until it is certain that none answer."""
+    def _has_lease(self) -> bool:
+        """Whether there is a lease. Without reachable keepers `create` waits until its time-out, so that it
+        uses the copy on disk only when no keeper answers."""
         acting = self.agreement.acting()
         return acting is not None and acting.led
 
-    def end(self) -> None:
-        """Nothing is acted on any more: leave."""
+    def leave(self) -> None:
+        """Leave the roster; the ingress must have stopped."""
         self.agreement.stop()
 
-    def _hindrance(self) -> str:
+    def _obstacle(self) -> str:
         return "" if self.applied is not None and self.applied.share else "no place in the roster"
 
     def _config(self, acting: Acting) -> GatewayConfig:
         return merged(self.local, acting.document, acting.gateways, acting.index)
 
-    def changed(self) -> None:
-        """Look at what to act on; called at every news, and whenever a lease may have ended."""
-        self._try_next()
+    def on_change(self) -> None:
+        """Apply what is to be acted on now; called on each update and whenever a lease may have ended."""
+        self._check_next_version()
         acting = self.agreement.acting()
         if acting is not None and self.ingress is not None:
-            self._settle(acting)
+            self._apply(acting)
 
-    def _try_next(self) -> None:
-        """Find out whether the next version could be applied here, and say so."""
+    def _check_next_version(self) -> None:
+        """Check whether the next version can be applied here, and report the result."""
         queue = self.agreement.lease.state.queue
         if queue and queue[0].version != self.agreement.lease.ready:
-            cannot = self._fault(queue[0].document)
-            if cannot:
-                self.log("agreement.cannot_apply", version=queue[0].version, reason=cannot)
-            self.agreement.could(queue[0].version, cannot)
-
-    def _fault(self, document: Document) -> str:
-        held = self.agreement.lease.state.document
-        steps = [document] if held is None else [document, narrowest([held, document])]
+            error = self._validation_error(queue[0].document)
+            if error:
+                self.log("agreement.cannot_apply", version=queue[0].version, reason=error)
+            self.agreement.could(queue[0].version, error)
+
+    def _validation_error(self, document: Document) -> str:
+        current = self.agreement.lease.state.document
+        # during the change the narrower settings of both versions apply, so they must be valid too
+        steps = [document] if current is None else [document, narrowest([current, document])]
         try:
-            for step in steps:  # the narrower of both comes before it
+            for step in steps:
                 Admission(merged(self.local, step, 1, 0))
         except ValueError as error:
             return str(error)
         return ""
 
-    def _settle(self, acting: Acting, newcomer: bool = False) -> None:
+    def _apply(self, acting: Acting, newcomer: bool = False) -> None:
         assert self.ingress is not None
         core = self.ingress.core
         core.lease_until_ms = self.agreement.led_until_ms if acting.led else None
@@ -131,16 +134,18 @@
         if acting == before:
             return
         self.applied = acting
-        led = acting.led
+        has_lease = acting.led
         try:
             config = self._config(acting)
-            self.good = acting.document
-        except ValueError as error:  # forced by an operator: what it had goes on, with the share it has now
+            self.last_valid = acting.document
+        except ValueError as error:
+            # An operator forced a version that is invalid here: keep the last valid settings, made cautious,
+            # with the current share.
             self.log("agreement.cannot_apply", version=acting.version, reason=str(error))
-            assert self.good is not None
-            led = False
-            config = merged(self.local, cautious(self.good), acting.gateways, acting.index)
-        self.ingress.settle(config, led, newcomer)
+            assert self.last_valid is not None
+            has_lease = False
+            config = merged(self.local, cautious(self.last_valid), acting.gateways, acting.index)
+        self.ingress.apply(config, has_lease, newcomer)
         if before is None or (before.version, before.led, before.gateways, before.index) != (
             acting.version,
             acting.led,
@@ -158,7 +163,7 @@
             )
 
     def counts(self) -> dict[str, Any]:
-        """For the log."""
+        """Counters and state of the agreement, for the log."""
         lease = self.agreement.lease
         return self.agreement.counts | {
             "version": lease.state.version,
--- a/tamarindfold/ingress/answers.py
+++ b/tamarindfold/ingress/responses.py
@@ -1,4 +1,4 @@
-"""Final answers as HTTP responses; what is not served has a problem body (RFC 9457)."""
+"""Renders HTTP responses for the outcomes of requests; unsuccessful ones have a problem body (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tamarindfold.http1 import write
 from tamarindfold.http1.requests import Headers, Rejected
 from tamarindfold.ingress import headers as names
-from tamarindfold.ingress.admission import Forbidden, passed_on
+from tamarindfold.ingress.admission import Forbidden, forwardable_headers
 from tamarindfold.ingress.exchange import TokenExpired, Failed, Final, Refused, Served
 from tamarindfold.interface import Why
 from tamarindfold.introspection.bearer import challenge
@@ -17,7 +17,7 @@
 REALM = "tamarindfold"
 VIA = (b"via", b"1.1 tamarindfold")
 
-_REFUSED = {
+_REFUSALS = {
     Why.QUOTA: (429, "Quota used up", "The customer's quota has no room for this request now."),
     Why.PRESSURE: (503, "Servers pressed", "The servers could not answer in time now."),
     Why.OPEN: (429, "Too many at once", "Too many of the customer's requests are open now."),
@@ -73,32 +73,32 @@
 def unauthorized(
     status: int, error: str, detail: str, name: bytes, keep_alive: bool, scope: str = ""
 ) -> bytes:
-    """400, 401 or 403 with the challenge that RFC 6750 section 3 words."""
+    """400, 401 or 403 with the challenge of RFC 6750 section 3."""
     title = {400: "Bad credentials", 401: "Unauthorized", 403: "Forbidden"}[status]
     headers = [(b"www-authenticate", challenge(REALM, error, detail if error else "", scope))]
     return _problem(status, title, detail, b"rejected", name, keep_alive, headers)
 
 
 def rejected(fault: Rejected, name: bytes = b"", keep_alive: bool = False) -> bytes:
-    """A request that could not be read, or that asks for what is not here."""
+    """A request that is malformed, or asks for a route that does not exist."""
     return _problem(fault.status, "Request not taken", fault.detail, b"rejected", name, keep_alive)
 
 
 def forbidden(fault: Forbidden, name: bytes, keep_alive: bool) -> bytes:
-    """A good token that does not open this door."""
+    """403: the credential is valid but does not permit the request."""
     return unauthorized(
         403, "insufficient_scope" if fault.scope else "", fault.detail, name, keep_alive, fault.scope
     )
 
 
 def final(answer: Final, name: bytes, keep_alive: bool, no_body: bool = False) -> bytes:
-    """The response for the module's final answer."""
+    """The response for the final outcome of a request; empty if nobody waits for one."""
     match answer:
         case Served(status, headers, body):
-            kept = [*passed_on(headers), VIA, (names.OUTCOME, b"served"), (names.REQUEST, name)]
+            kept = [*forwardable_headers(headers), VIA, (names.OUTCOME, b"served"), (names.REQUEST, name)]
             return write.response(status, kept, body, keep_alive, no_body)
         case Refused(retry_after_ms, why):
-            code, title, detail = _REFUSED[why]
+            code, title, detail = _REFUSALS[why]
             return refused(code, title, detail, retry_after_ms, name, keep_alive, no_body)
         case Failed(late):
             code, title = (504, "No answer in time") if late else (502, "The server failed")
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -1,4 +1,4 @@
-"""One gateway put together from its configuration: started, stopped, and its state told now and then."""
+"""Assembles one gateway from its configuration, starts and stops it, and logs its counters periodically."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tamarindfold.identity.files import pepper, public_key
 from tamarindfold.identity.model import PlanRow
 from tamarindfold.ingress.admin import Admin
+from tamarindfold.ingress.authentication import Authenticator
 from tamarindfold.ingress.background import Background
 from tamarindfold.ingress.clock import SteadyClock
 from tamarindfold.ingress.core import Core
-from tamarindfold.ingress.door import Door
-from tamarindfold.ingress.forward import ForwardFront
+from tamarindfold.ingress.forward_auth import ForwardAuthFront
 from tamarindfold.ingress.front import Front
 from tamarindfold.ingress.pool import Pool
 from tamarindfold.ingress.backend_adapter import TamarindBackendAdapter
@@ -37,13 +37,13 @@
 from tamarindfold.membership.driver import FeedSubscriber
 from tamarindfold.recovery.driver import Recorder
 
-SLEW_EVERY_S = 1.0
-FEEL_MS = 25.0
-TIDY_EVERY_MS = 1_000.0
+CLOCK_SLEW_INTERVAL_S = 1.0
+LAG_PROBE_INTERVAL_MS = 25.0
+CLEANUP_INTERVAL_MS = 1_000.0
 
 
 def checker_rules(section: Introspection) -> Rules:
-    """The token checker's bounds."""
+    """The limits of the token checker."""
     return Rules(**{name: getattr(section, name) for name in Rules.__dataclass_fields__})
 
 
@@ -54,26 +54,28 @@
         self,
         config: GatewayConfig,
         log: Callable[..., None],
-        make: Callable[[Settings, int], Gateway] = Gateway,
+        make_gateway: Callable[[Settings, int], Gateway] = Gateway,
         number: int | None = None,
     ) -> None:
-        """number: what names this instance in files and reports, where its index may change."""
+        """number: identifies this instance in files and reports if its settings are managed, as its index may
+        change then."""
         self.config, self.log = config, log
-        self.number, self.agreed = config.instance.index if number is None else number, number is not None
-        self.hindrance: Callable[[], str] = str  # why it is not ready, from outside
-        self.agreement: Callable[[], dict[str, Any]] = dict  # figures of the agreement, where there is one
+        self.number = config.instance.index if number is None else number
+        self.managed = number is not None  # settings and index come from the keepers
+        self.agreement_obstacle: Callable[[], str] = str  # why the agreement keeps it from being ready
+        self.agreement_counts: Callable[[], dict[str, Any]] = dict
         self.steady = SteadyClock()
         clock = self.steady.now
-        up, look = config.upstream, config.introspection
+        upstream, introspection = config.upstream, config.introspection
         self.core = Core(
-            make(derive.settings(config), config.instance.seed), clock, log, config.instance.stall_ms
+            make_gateway(derive.settings(config), config.instance.seed), clock, log, config.instance.stall_ms
         )
         self.pool = Pool(
-            up.idle_ms,
-            up.idle_per_server,
-            up.connections_per_server,
-            up.connect_timeout_ms,
-            up.source_address,
+            upstream.idle_ms,
+            upstream.idle_per_server,
+            upstream.connections_per_server,
+            upstream.connect_timeout_ms,
+            upstream.source_address,
             config.limits.answer_bytes,
             clock,
         )
@@ -81,42 +83,49 @@
         servers = TamarindBackendAdapter(lambda: self.core.gateway.settings, log)
         self.core.sender = Upstream(self.core, self.pool, self.timers, servers, clock)
         self.introspector = Introspector(
-            look.url,
-            look.client_id,
-            look.secret(),
-            checker_rules(look),
-            look.connections,
-            look.answer_bytes,
+            introspection.url,
+            introspection.client_id,
+            introspection.secret(),
+            checker_rules(introspection),
+            introspection.connections,
+            introspection.answer_bytes,
             config.instance.seed,
             clock,
             log,
         )
         self.identity = self._identity(config, clock) if config.identity is not None else None
-        self.door = door = Door(config, self.introspector, self.identity, log)
+        self.authenticator = authenticator = Authenticator(config, self.introspector, self.identity, log)
         self.front = Front(
-            config, self.core, door, self.timers, clock, log, self.number, config.limits.connections
+            config,
+            self.core,
+            authenticator,
+            self.timers,
+            clock,
+            log,
+            self.number,
+            config.limits.connections,
         )
-        self.forward = (
-            ForwardFront(config, self.core, door, self.timers, clock, log, self.number)
+        self.forward_front = (
+            ForwardAuthFront(config, self.core, authenticator, self.timers, clock, log, self.number)
             if config.forward is not None
             else None
         )
         self.forward_listener: StreamServer | None = None
         self.admin = Admin(config.admin, self) if config.admin is not None else None
-        self.turned_at = time.monotonic()
+        self.last_loop_turn_s = time.monotonic()
         self.stopping = False
         self.counter: Counter | None = None
         self.feed: FeedSubscriber | None = None
         self.listener: StreamServer | None = None
-        self.chores: list[gevent.Greenlet] = []
+        self.tasks: list[gevent.Greenlet] = []
         self.background = Background(config.recovery.background_part, log)
         self.recorder = self._recorder(config, clock) if config.instance.state_dir else None
 
     def _identity(self, config: GatewayConfig, clock: Callable[[], float]) -> Identity:
-        """The follower of the registry; ValueError or OSError where its files can't be used."""
+        """The follower of the registry; raises ValueError or OSError if its files are unusable."""
         section = config.identity
         assert section is not None
-        made = Identity(
+        identity = Identity(
             split_address(section.registry, "identity.registry"),
             public_key(Path(section.public_key)),
             pepper(Path(section.pepper)),
@@ -126,11 +135,11 @@
             section.reconnect_ms,
             config.upstream.source_address,
             clock,
-            self._plans_came,
+            self._on_plans,
             self.log,
         )
-        self.core.is_credential_valid = made.still
-        return made
+        self.core.is_credential_valid = identity.still
+        return identity
 
     def _recorder(self, config: GatewayConfig, clock: Callable[[], float]) -> Recorder:
         section = config.recovery
@@ -142,11 +151,11 @@
             section.ahead_ms,
             clock,
             self.log,
-            self.agreed,
+            self.managed,
         )
 
     def _restore(self) -> None:
-        """Once the plans are known, and before the first request: what an earlier life left."""
+        """Restore the state of an earlier incarnation, once plans are known and before the first request."""
         if self.recorder is None or self.core.recorder is not None:
             return
         if (restored := self.recorder.load()) is not None:
@@ -154,26 +163,26 @@
         self.core.recorder = self.recorder
         self.background.add("snapshot", self.recorder.snapshot, self.config.recovery.every_ms, priority=1)
 
-    def _plans_came(self, rows: list[PlanRow]) -> None:
-        """The registry's plans, for the module: each version has a place and a name of its own."""
+    def _on_plans(self, rows: list[PlanRow]) -> None:
+        """Hand the registry's plans to the decision module: each version is a plan of its own."""
         self.core.post(
             PlansChanged(
                 tuple(
-                    derive.plan(row.figures, f"{row.plan}@{row.version}", place)
-                    for place, row in enumerate(rows)
+                    derive.plan(row.figures, f"{row.plan}@{row.version}", index)
+                    for index, row in enumerate(rows)
                 )
             )
         )
         self._restore()
 
-    def _state_file(self, what: str, kind: str) -> Path | None:
+    def _state_file(self, name: str, extension: str) -> Path | None:
         instance = self.config.instance
-        return Path(instance.state_dir) / f"{what}-{self.number}.{kind}" if instance.state_dir else None
+        return Path(instance.state_dir) / f"{name}-{self.number}.{extension}" if instance.state_dir else None
 
     def start(self) -> tuple[str, int]:
-        """Open the sockets; gives the address that clients reach. OSError where it can't be had."""
+        """Open the sockets; returns the address for clients. Raises OSError if it can't be bound."""
         config = self.config
-        self._count()
+        self._connect_counter()
         if config.fleet.static:
             self.core.update_fleet(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
         else:
@@ -186,42 +195,43 @@
                 config.upstream.source_address,
             )
             self.feed.start()
-            # Guards against sends by a saved list: what left it meanwhile was told to an earlier life.
+            # Wait for the feed before sending by the saved list: servers may have left it since, which was
+            # announced only to an earlier incarnation.
             if self.core.fleet:
                 self.feed.subscription.wait_for_first_message(config.fleet.first_list_ms, self.log)
         if self.identity is not None:
             self.identity.start()
         else:
             self._restore()
-        listen, served = config.listen, []
+        listen, addresses = config.listen, []
         if "proxy" in derive.fronts(config):
             self.listener = StreamServer(
                 (listen.host, listen.port), self.front.serve, backlog=listen.backlog, spawn=self.front.clients
             )
             self.listener.start()
-            served.append((listen.host, self.listener.server_port))
-        if self.forward is not None and (asking := config.forward) is not None:
+            addresses.append((listen.host, self.listener.server_port))
+        if self.forward_front is not None and (forward := config.forward) is not None:
             self.forward_listener = StreamServer(
-                (asking.host, asking.port),
-                self.forward.serve,
-                backlog=asking.backlog,
-                spawn=self.forward.clients,
+                (forward.host, forward.port),
+                self.forward_front.serve,
+                backlog=forward.backlog,
+                spawn=self.forward_front.clients,
             )
             self.forward_listener.start()
-            served.append((asking.host, self.forward_listener.server_port))
-            self.log("forward.listening", host=asking.host, port=self.forward_listener.server_port)
+            addresses.append((forward.host, self.forward_listener.server_port))
+            self.log("forward.listening", host=forward.host, port=self.forward_listener.server_port)
         if self.admin is not None:
             self.admin.start()
             self.log("admin.listening", host=self.admin.host, port=self.admin.port)
-        self.chores = [gevent.spawn(chore) for chore in (self._keep_time, self._feel)]
-        self.background.add("tidy", self._tidy, TIDY_EVERY_MS)
-        self.background.add("counts", self._tell_counts, config.log.counts_every_ms)
+        self.tasks = [gevent.spawn(task) for task in (self._slew_clock, self._measure_lag)]
+        self.background.add("tidy", self._clean_up, CLEANUP_INTERVAL_MS)
+        self.background.add("counts", self._log_periodic_counts, config.log.counts_every_ms)
         self.background.start()
-        self.log("ingress.listening", host=served[0][0], port=served[0][1])
-        return served[0]
+        self.log("ingress.listening", host=addresses[0][0], port=addresses[0][1])
+        return addresses[0]
 
-    def _count(self) -> None:
-        """Count at the counter that the configuration names; the one before it is let go."""
+    def _connect_counter(self) -> None:
+        """Use the counter that the configuration names, in place of the one used before."""
         if self.counter is not None:
             self.core.send_count = None
             self.counter.retire()
@@ -240,44 +250,44 @@
             )
             self.core.send_count = self.counter.call
 
-    def settle(self, config: GatewayConfig, led: bool, newcomer: bool = False) -> None:
-        """Go by another configuration from now on, as far as it may differ (agreement.document.check_after).
+    def apply(self, config: GatewayConfig, has_lease: bool, newcomer: bool = False) -> None:
+        """Switch to another configuration, within the differences that agreement.document.check_after allows.
 
-        led: it is known to be in force. newcomer: this instance's part of every quota is new.
+        has_lease: it is known to be in force. newcomer: this instance's share of every quota is new.
         """
         before, self.config = self.config, config
-        held = self.core.gateway.settings
-        made = derive.settings(config)
-        # plans that are as they were stay the same objects: the module knows by that
+        current = self.core.gateway.settings
+        derived = derive.settings(config)
+        # Unchanged plans must stay the same objects: the decision module compares them by identity.
         plans = (
-            held.plans
+            current.plans
             if self.identity is not None
-            else tuple(next((old for old in held.plans if old == plan), plan) for plan in made.plans)
+            else tuple(next((old for old in current.plans if old == plan), plan) for plan in derived.plans)
         )
-        if (settings := replace(made, plans=plans)) != held or newcomer:
+        if (settings := replace(derived, plans=plans)) != current or newcomer:
             self.core.apply_settings(settings, newcomer)
-        self.door.settle(config, led)
+        self.authenticator.apply(config, has_lease)
         if config.fleet.static != before.fleet.static:
             self.core.update_fleet(FleetUpdate(ListKind.FULL, derive.static_entries(config)))
         if config.counter != before.counter:
-            self._count()
+            self._connect_counter()
 
     def stop(self) -> bool:
-        """Stop accepting, finish what is held, close; False where something was still held at the end."""
+        """Stop accepting, finish requests in flight, close; False if some were unfinished after `stop_ms`."""
         self.stopping = True
         until = self.steady.now() + self.config.limits.stop_ms
         if self.listener is not None:
             self.front.stop(self.listener)
-        if self.forward_listener is not None and self.forward is not None:
-            self.forward.stop(self.forward_listener)
-        for front in (self.front, self.forward):
+        if self.forward_listener is not None and self.forward_front is not None:
+            self.forward_front.stop(self.forward_listener)
+        for front in (self.front, self.forward_front):
             if front is not None:
                 front.clients.join(max(0.0, until - self.steady.now()) / 1000)
-        done = not self.held
+        done = not self.in_flight
         if self.admin is not None:
             self.admin.stop()
         self.background.stop()
-        gevent.killall(self.chores)
+        gevent.killall(self.tasks)
         if self.recorder is not None and self.core.recorder is not None:
             self.recorder.close()
             self.core.recorder = None
@@ -294,51 +304,51 @@
         return done
 
     @property
-    def held(self) -> int:
-        """Requests taken and not yet answered, by either front."""
-        return self.front.held + (self.forward.held if self.forward is not None else 0)
+    def in_flight(self) -> int:
+        """Requests read and not yet answered, on both fronts."""
+        return self.front.in_flight + (self.forward_front.in_flight if self.forward_front is not None else 0)
 
     @property
-    def ready(self) -> str:
-        """Why requests can't be decided now; empty where they can."""
+    def why_not_ready(self) -> str:
+        """Why requests can't be decided now; empty if they can."""
         if self.stopping:
             return "stopping"
-        if why := self.hindrance():
-            return why
+        if obstacle := self.agreement_obstacle():
+            return obstacle
         if not self.core.fleet:
             return "no list of servers yet"
         if self.identity is not None and self.identity.follower.tables is None:
             return "no word from the registry yet"
         return ""
 
-    def _keep_time(self) -> None:
+    def _slew_clock(self) -> None:
         while True:
-            gevent.sleep(SLEW_EVERY_S)
+            gevent.sleep(CLOCK_SLEW_INTERVAL_S)
             self.steady.slew()
 
-    def _tidy(self) -> Iterator[float | None]:
+    def _clean_up(self) -> Iterator[float | None]:
         self.pool.prune_idle(self.core.fleet.__contains__)
         yield None
         self.core.limits.sweep(self.steady.now())
 
-    def _feel(self) -> None:
-        """How late this process runs what is due, for those who must not wait unseen, and that it turns."""
+    def _measure_lag(self) -> None:
+        """Measure by how much the event loop is late, for overload control, and record that it runs."""
         while True:
-            due = self.steady.now() + FEEL_MS
-            gevent.sleep(FEEL_MS / 1000)
-            self.turned_at = time.monotonic()
+            due = self.steady.now() + LAG_PROBE_INTERVAL_MS
+            gevent.sleep(LAG_PROBE_INTERVAL_MS / 1000)
+            self.last_loop_turn_s = time.monotonic()
             self.core.on_loop_turn()
-            if self.forward is not None:
-                self.forward.gate.felt(self.steady.now() - due)
+            if self.forward_front is not None:
+                self.forward_front.gate.felt(self.steady.now() - due)
 
-    def _tell_counts(self) -> None:
+    def _log_periodic_counts(self) -> None:
         self._log_counts("ingress.counts")
 
     def _log_counts(self, event: str) -> None:
         self.log(event, **self.counts())
 
     def counts(self) -> dict[str, Any]:
-        """All counters, by part."""
+        """All counters, by component."""
         counter = (
             {
                 "turned_away": sum(p.pipeline.rejected for p in self.counter.parts),
@@ -357,15 +367,19 @@
             else {}
         )
         forward = (
-            (self.forward.permits.counts | self.forward.counts | {"held": self.forward.permits.active})
-            if self.forward
+            (
+                self.forward_front.permits.counts
+                | self.forward_front.counts
+                | {"held": self.forward_front.permits.active}
+            )
+            if self.forward_front
             else {}
         )
         return {
-            "agreement": self.agreement(),
+            "agreement": self.agreement_counts(),
             "identity": identity,
             "forward": forward,
-            "held": self.held,
+            "held": self.in_flight,
             "requests": self.core.requests(),
             "front": self.front.counts,
             "tokens": self.introspector.checker.counts,
--- a/tamarindfold/node/front.py
+++ b/tamarindfold/node/front.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from tamarindfold.http1.requests import Rejected, Request
-from tamarindfold.ingress.connection import ClientConnection, Listener
+from tamarindfold.ingress.connection import BaseFront, ClientConnection
 from tamarindfold.ingress.core import Core
 from tamarindfold.ingress.exchange import Exchange, Refused
 from tamarindfold.ingress.timers import Timers
@@ -21,7 +21,7 @@
 OVERLOAD_RETRY_AFTER_MS = 100.0  # for requests refused because too many are open
 
 
-class PlatformFront(Listener):
+class PlatformFront(BaseFront):
     """Serves the platform's clients within a limited number of connections."""
 
     limits: Limits
@@ -47,7 +47,7 @@
         )
         self.not_ready_reason = not_ready_reason
         self.parser = CallParser(settings)
-        self.connection = PlatformConnection
+        self.connection_type = PlatformConnection
         # connections without a valid request so far, oldest first
         self.unproven: dict[ClientConnection, None] = {}
         self.open_call_ids: set[bytes] = set()
@@ -80,9 +80,9 @@
             if connection not in self.unproven and now - since >= self.limits.evictable_idle_ms
         )
         for victim in chain((c for c in self.unproven if c in self.reading), proven):
-            if not victim.late and not victim.unread():
+            if not victim.no_wait and not victim.has_unread_bytes():
                 self.counts["evicted"] += 1
-                victim.hurry()
+                victim.stop_waiting()
                 return True
         return False
 
@@ -100,27 +100,31 @@
         finally:
             self.front.unproven.pop(self, None)
 
-    def phase_ms(self, phase: int) -> float:
+    def phase_timeout_ms(self, phase: int) -> float:
         """Also bounds the total time of the first request, which trickling bytes could otherwise prolong."""
-        allowed = super().phase_ms(phase)
+        allowed = super().phase_timeout_ms(phase)
         if not self.answered:
             elapsed_ms = self.front.clock() - self.accepted_ms
             allowed = min(allowed, max(0.0, self.limits.first_request_timeout_ms - elapsed_ms))
         return allowed
 
     @property
-    def keep(self) -> bool:
+    def keep_alive(self) -> bool:
         """Whether the connection stays open after this answer.
 
         It is closed if the client sent the next request before the answer, which violates the protocol, and
         if many connections are idle: they would leave no room for other clients.
         """
-        return super().keep and not self.ahead and self.front.proven_idle < self.limits.max_idle_connections
+        return (
+            super().keep_alive
+            and not self.pipelined
+            and self.front.proven_idle < self.limits.max_idle_connections
+        )
 
-    def _enter(self, request: Request, peer: str) -> Exchange | bytes:
+    def _admit(self, request: Request, peer: str) -> Exchange | bytes:
         front, limits = self.front, self.limits
         if request.target == wire_names.READY and request.method == "GET":
-            return responses.ready(front.not_ready_reason(), self.keep)
+            return responses.ready(front.not_ready_reason(), self.keep_alive)
         if self.reader.ready or self.reader.in_message:
             front.counts["ahead"] += 1
             raise Rejected(400, "requests are sent one at a time")
@@ -130,9 +134,11 @@
         front.unproven.pop(self, None)
         if len(front.core.open_exchanges) >= limits.open_requests:
             front.counts["full"] += 1
-            return front.words.final(Refused(OVERLOAD_RETRY_AFTER_MS, Why.PRESSURE), call.call_id, self.keep)
+            return front.renderer.final(
+                Refused(OVERLOAD_RETRY_AFTER_MS, Why.PRESSURE), call.call_id, self.keep_alive
+            )
         front.core.last_request_number = number = front.core.last_request_number + 1
-        deadline = self.came_ms + call.time_left_ms
+        deadline = self.last_byte_ms + call.time_left_ms
         return Exchange(
             number,
             call.call_id,
@@ -151,11 +157,11 @@
             first_gateway=call.first,
         )
 
-    def _decided(self, exchange: Exchange) -> bytes:
+    def _process(self, exchange: Exchange) -> bytes:
         open_call_ids = self.front.open_call_ids
         open_call_ids.add(exchange.name)
         try:
-            return super()._decided(exchange)
+            return super()._process(exchange)
         finally:
             open_call_ids.discard(exchange.name)
             self.front.counts["not_kept"] += self.front.proven_idle >= self.limits.max_idle_connections
--- a/tamarindfold/node/server.py
+++ b/tamarindfold/node/server.py
@@ -133,14 +133,14 @@
         """Serve clients for a moment longer, answer all requests that were received, then close.
 
         First, each answer closes its connection. Then idle connections that have had an answer are closed.
-        Then `Listener.stop` reads each remaining connection's socket once more and accepts what is in the
+        Then `BaseFront.stop` reads each remaining connection's socket once more and accepts what is in the
         accept queue. Finally the open requests are answered. Connections count from accept on, so the
         process waits for all of them.
         """
         if self.listener is not None:
             self.front.stopping = True
             gevent.sleep(IDLE_CLOSE_DELAY_S)
-            self.front.end_idle()
+            self.front.close_idle_clients()
             gevent.sleep(LISTEN_DELAY_S - IDLE_CLOSE_DELAY_S)
             self.front.stop(self.listener)
             self.front.clients.join(DRAIN_TIMEOUT_S)
@@ -196,7 +196,7 @@
                 "clients": len(front.clients),
                 "idle": len(front.idle),
                 "silent": len(front.unproven),
-                "held": front.held,
+                "held": front.in_flight,
                 "open": len(self.core.open_exchanges),
                 "withdrawn": len(self.core.withdrawn),
                 "backends": len(self.core.fleet),
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -383,8 +383,8 @@
 
     seen = []
     r = rig(plans=[*PLANS[:1], {"name": "small", "rate": 50, "burst": 1}])
-    read = r.ingress.front.door.admission.read
-    r.ingress.front.door.admission.read = lambda request: (
+    read = r.ingress.front.authenticator.admission.read
+    r.ingress.front.authenticator.admission.read = lambda request: (
         seen.append(request.get(b"tamarind-retry")),
         read(request),
     )[1]
@@ -485,7 +485,7 @@
 def test_a_gateway_that_closes_idle_connections_puts_no_switch_in_doubt(rig, driver, monkeypatch) -> None:
     from tamarindfold.ingress.front import ClientConnection
 
-    read = ClientConnection._next
+    read = ClientConnection._read_request
 
     def once(connection):
         """Closes after one answer, without a word of it."""
@@ -494,7 +494,7 @@
         connection.answered = True
         return read(connection)
 
-    monkeypatch.setattr(ClientConnection, "_next", once)
+    monkeypatch.setattr(ClientConnection, "_read_request", once)
     r = rig()
     replies = driver(Settings([url(r.address)], token="good"), *[SWITCH] * 8)
     assert {x.result.outcome for x in replies} == {Outcome.SERVED}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -87,16 +87,16 @@
     request = testbed.request_bytes()
     front = testbed.node.front
     connection = connection_of(testbed, sock)
-    decided = connection._decided
+    decided = connection._process
 
     def disconnect_before_decision(exchange: Exchange) -> bytes:
         """The request has been read; more bytes and the client's end arrive before the decision."""
         sock.sendall(ahead)
         disconnect(how, sock)
-        wait_for(lambda: connection.unread() or how == "reset" or not ahead)
+        wait_for(lambda: connection.has_unread_bytes() or how == "reset" or not ahead)
         return decided(exchange)
 
-    connection._decided = disconnect_before_decision
+    connection._process = disconnect_before_decision
     sock.sendall(request)
     wait_for(lambda: front.counts["requests"] and not len(front.clients))
     assert not testbed.received()
@@ -156,7 +156,7 @@
     connection = connection_of(testbed, sock)
     sock.sendall(testbed.request_bytes())
     wait_for(lambda: testbed.received())
-    connection.look()  # finds nothing to read
+    connection.check_client()  # finds nothing to read
     sock.close()
     wait_for(lambda: testbed.node.upstream.counts["cancelled"] == 1)
 
@@ -196,14 +196,16 @@
     sock = testbed.connect()
     wait_for(lambda: testbed.node.front.idle)
     connection = connection_of(testbed, sock)
-    for order in itertools.permutations((lambda: sock.sendall(testbed.request_bytes()), connection.hurry)):
+    for order in itertools.permutations(
+        (lambda: sock.sendall(testbed.request_bytes()), connection.stop_waiting)
+    ):
         if not testbed.node.front.idle:
             break
         for act in order:
             act()
         assert read_answer(sock).status == 200
         wait_for(lambda: testbed.node.front.idle)
-    connection.hurry()
+    connection.stop_waiting()
     assert sock.recv(10) == b""
 
 
@@ -215,7 +217,7 @@
     connection = connection_of(testbed, sock)
     text = testbed.request_bytes()
     sock.sendall(text[:40])
-    connection.hurry()
+    connection.stop_waiting()
     wait_for(lambda: not testbed.node.front.idle and testbed.node.front.reading)
     sock.sendall(text[40:])
     assert read_answer(sock).status == 200
@@ -263,7 +265,7 @@
     wait_for(lambda: len(testbed.node.front.idle) == 3)
     before = len(testbed.received())
     socks[0].sendall(testbed.request_bytes())  # in the kernel, but not read by the event loop yet
-    testbed.node.front.end_idle()
+    testbed.node.front.close_idle_clients()
     answer = read_answer(socks[0])
     assert answer.status == 200 and [s.recv(10) for s in socks[1:]] == [b"", b""]
     assert len(testbed.received()) == before + 1
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -134,7 +134,7 @@
     wait_for(lambda: r.entries("received"))
     sock.close()
     assert r.ask().status == 200
-    wait_for(lambda: r.ingress.front.held == 0)
+    wait_for(lambda: r.ingress.front.in_flight == 0)
 
 
 def test_headers_that_trickle_are_cut_off(rig) -> None:
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -90,9 +90,9 @@
 
 
 def test_token_and_hop_by_hop_headers_are_not_forwarded(rig) -> None:
-    from tamarindfold.ingress.admission import passed_on
+    from tamarindfold.ingress.admission import forwardable_headers
 
-    kept = passed_on(
+    kept = forwardable_headers(
         [
             (b"authorization", b"Bearer x"),
             (b"connection", b"close, x-mine"),
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -58,7 +58,7 @@
 
     @property
     def permits(self) -> dict[str, int]:
-        return self.r.ingress.forward.permits.counts
+        return self.r.ingress.forward_front.permits.counts
 
     def ask(
         self,
@@ -121,7 +121,7 @@
 def test_the_body_that_is_announced_and_dropped_is_not_waited_for(proxied, kind) -> None:
     p = proxied(kind, "body_announced", limits={"body_timeout_ms": 60_000}, forward={"body_ms": 5})
     assert p.ask("/switches", "POST", body=b"x" * 500).status == 200
-    assert p.r.ingress.forward.counts["bodies_not_come"] == 1
+    assert p.r.ingress.forward_front.counts["bodies_not_come"] == 1
     assert len(p.r.entries("ran")) == 1
 
 
@@ -220,7 +220,7 @@
 def test_a_report_for_another_instance_settles_nothing(proxied) -> None:
     other = proxied()
     p = proxied("traefik", "report_elsewhere", instance={"index": 0, "gateways": 2}, config={"gateways": []})
-    other.r.ingress.forward.permits.index = 1
+    other.r.ingress.forward_front.permits.index = 1
     p.proxy.gateways = [p.gateway, other.gateway]
     p.proxy.turn = 1  # so that the first is asked, and the second told
     assert p.ask().status == 200
@@ -237,7 +237,7 @@
     core.gateway.handle = real
     for event in held:
         core.gateway.handle(core.clock(), event)
-    assert p.r.ingress.forward.permits.active == 0 and not core.gateway.calls
+    assert p.r.ingress.forward_front.permits.active == 0 and not core.gateway.calls
     assert not p.r.entries("received")
 
 
@@ -272,8 +272,10 @@
         ]
     )
     seen: list[Any] = []
-    enter = p.r.ingress.front.door.enter
-    p.r.ingress.front.door.enter = lambda asked, until, peer: seen.append(peer) or enter(asked, until, peer)
+    enter = p.r.ingress.front.authenticator.authenticate
+    p.r.ingress.front.authenticator.authenticate = lambda asked, until, peer: (
+        seen.append(peer) or enter(asked, until, peer)
+    )
     p.ask(x_forwarded_for="203.0.113.7")  # from 127.0.0.1, which is no proxy of ours
     assert seen == ["127.0.0.1"]
     (received,) = p.r.entries("received")
@@ -388,23 +390,23 @@
 def test_a_decision_takes_no_longer_than_was_stated(proxied) -> None:
     p = proxied()
     assert p.ask().status == 200  # the token is known now, however slow the machine is
-    core, front = p.r.ingress.core, p.r.ingress.forward
+    core, front = p.r.ingress.core, p.r.ingress.forward_front
     wait_for(lambda: not core.open_exchanges)
     front.section = msgspec.structs.replace(front.section, decide_ms=60)
     core.gateway.handle = lambda now, event: []
     answer = p.ask()
     assert (answer.status, answer.outcome) == (503, "refused")
-    assert p.r.ingress.forward.counts["overdue"] == 1 and not core.open_exchanges
+    assert p.r.ingress.forward_front.counts["overdue"] == 1 and not core.open_exchanges
 
 
 def test_a_pressed_front_turns_the_least_worth_away_unchecked(proxied) -> None:
     p = proxied(forward={"most_deciding": 4})
-    p.r.ingress.forward.gate.taken = 3
+    p.r.ingress.forward_front.gate.taken = 3
     looked = p.r.ingress.introspector.checker.counts.copy()
     assert p.ask().status == 503
     assert p.r.ingress.introspector.checker.counts == looked  # nothing costly was done
     assert p.ask("/switches", "POST").status == 200
-    assert p.r.ingress.forward.counts["pressed"] == 1
+    assert p.r.ingress.forward_front.counts["pressed"] == 1
 
 
 def test_in_the_form_that_only_decides_the_proxy_chooses(proxied) -> None:
@@ -432,10 +434,10 @@
     )  # blocks the loop; the admin thread answers all the same
     assert (found.status_code, found.json()) == (200, {"status": "ready"})
     assert httpx.get(f"http://127.0.0.1:{port}/counts").json()["requests"]["arrived"] == 0
-    r.ingress.turned_at -= 60
+    r.ingress.last_loop_turn_s -= 60
     still = httpx.get(f"http://127.0.0.1:{port}/health")
     assert still.status_code == 503 and still.json()["turned_ms_ago"] > 50
-    r.ingress.turned_at += 3600
+    r.ingress.last_loop_turn_s += 3600
     assert httpx.get(f"http://127.0.0.1:{port}/health").status_code == 200
     assert httpx.get(f"http://127.0.0.1:{port}/other").status_code == 404
     r.ingress.stopping = True
