--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -21,7 +21,7 @@
 import gevent
 import msgspec
 
-from tamarindfold.agreement.operator import NoAnswer
+from tamarindfold.agreement.operator_client import NoAnswer
 from tamarindfold.choice import Gateway
 from tamarindfold.ingress.core import Core
 from tamarindfold.interface import Effect, Plan, RequestClass, Settings
--- a/tamarindfold/agreement/__init__.py
+++ b/tamarindfold/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Settings, servers and roster that all instances agree on, with versions, leases and one fencing number."""
+"""Replicated settings: a Paxos log of versions and of the instances' roster, followed under leases."""
--- a/tamarindfold/agreement/consensus.py
+++ b/tamarindfold/agreement/consensus.py
@@ -1,15 +1,20 @@
-"""One keeper of the agreed log: a majority has an entry on disk before it counts. No I/O, no clock.
+"""One keeper, a replica of the log: an entry counts once a majority has it on disk. No I/O, no clock.
 
 Single-decree Paxos for each entry, one entry at a time, with a leader that keeps its ballot from entry to
-entry (as Multi-Paxos and Viewstamped Replication do). Two things are its own:
+entry (as in Multi-Paxos and Viewstamped Replication). Each keeper is proposer, acceptor and learner. Two
+points go beyond the textbook protocol:
 
-- No disk is believed at a start. A keeper that starts asks all the others, takes the most that any of them
-  has seen, and votes only then: a wiped or older disk cannot undo what its earlier life had promised. Only
-  an operator can spare it that (`trusted`), where another keeper is gone for good.
-- What may have been chosen counts as doubt: a keeper that accepted an entry and does not know what came of
-  it lets nobody believe that nothing is new (`certain`).
+- A keeper does not trust its own disk when it starts. It queries all other keepers, adopts the highest
+  promise and the newest vote that any of them has seen, and takes part in votes only then: a wiped or older
+  disk thus cannot break promises that the keeper made in an earlier incarnation. Only an operator may skip
+  this (`trust_disk`), when another keeper is gone for good.
+- An entry that may have been chosen counts as doubt: a keeper that accepted an entry whose outcome it does
+  not know does not confirm to any instance that the log ends where the keeper's log ends (`certain`).
 
-Save comes before the Sends that rely on it; whoever carries out actions keeps that order.
+A Save action precedes the Send actions that rely on it; the caller must carry out actions in order.
+
+Class names are message tags, which keepers of other builds must understand; `tag=` and `field(name=...)` keep
+the names of the format where the Python names differ.
 """
 
 from __future__ import annotations
@@ -17,41 +22,41 @@
 from collections import deque
 from random import Random
 
-from msgspec import Struct
+from msgspec import Struct, field
 from msgspec.structs import replace
 
-from tamarindfold.agreement.log import Body, Entry, entry
-from tamarindfold.agreement.state import Refused, State, decode, encode
+from tamarindfold.agreement.log import Body, Entry, make_entry
+from tamarindfold.agreement.state import InvalidEntry, State, decode, encode
 
-BEAT_MS = 50.0  # a leader is heard from so often
-ELECT_MS = 300.0  # silence for so long, and up to twice that by chance: somebody else stands
-ASK_MS = 100.0  # a keeper that starts asks the others so often
-KEPT_ENTRIES = 500  # behind the newest; who lacks older ones is sent the whole state
-FILL_ENTRIES = 64  # in one message
+HEARTBEAT_MS = 50.0
+ELECTION_TIMEOUT_MS = 300.0  # lower bound; each timeout is drawn from one to two times this
+STATE_QUERY_MS = 100.0  # interval at which a starting keeper queries the others
+KEPT_ENTRIES = 500  # newest entries in memory; a peer that lacks older ones is sent a snapshot
+CATCH_UP_ENTRIES = 64  # in one message
 
-Ballot = tuple[int, int]
-NOUGHT: Ballot = (0, 0)
+Ballot = tuple[int, int]  # round, keeper
+ZERO_BALLOT: Ballot = (0, 0)
 
 
 class Vote(Struct, frozen=True):
-    """An entry that was accepted in a ballot."""
+    """An entry that an acceptor accepted, with the ballot."""
 
     ballot: Ballot
     entry: Entry
 
 
-class _Said(Struct, frozen=True, tag=True):
+class _Message(Struct, frozen=True, tag=True):
     """A message between keepers."""
 
 
-class Ask(_Said, frozen=True):
-    """I start: what have you seen?"""
+class StateQuery(_Message, frozen=True, tag="Ask"):
+    """A starting keeper asks what another one has promised, accepted and learned."""
 
     nonce: int
 
 
-class Word(_Said, frozen=True):
-    """What a keeper has promised, accepted and knows to be chosen."""
+class StateReply(_Message, frozen=True, tag="Word"):
+    """Reply to a StateQuery: highest promise, pending vote, and number of entries known to be chosen."""
 
     nonce: int
     promised: Ballot
@@ -59,149 +64,166 @@
     number: int
 
 
-class Prepare(_Said, frozen=True):
-    """Vote in no lower ballot any more, and tell what you accepted."""
+class Prepare(_Message, frozen=True):
+    """Phase 1 request: promise not to vote in lower ballots, and report what was accepted."""
 
     ballot: Ballot
 
 
-class Promise(_Said, frozen=True):
-    """What was accepted before this ballot, and how many entries are known to be chosen."""
+class Promise(_Message, frozen=True):
+    """Phase 1 reply: the vote that was accepted before this ballot, and how many entries are known chosen."""
 
     ballot: Ballot
     vote: Vote | None
     number: int
 
 
-class Accept(_Said, frozen=True):
-    """Accept this entry; the first `number` are chosen."""
+class Accept(_Message, frozen=True):
+    """Phase 2 request: accept this entry. The first `number` entries are chosen."""
 
     ballot: Ballot
     entry: Entry
     number: int
 
 
-class Accepted(_Said, frozen=True):
-    """It is on disk here."""
+class Accepted(_Message, frozen=True):
+    """Phase 2 reply: the entry is on disk here."""
 
     ballot: Ballot
     number: int
 
 
-class Beat(_Said, frozen=True):
-    """The leader is there, and the first `number` are chosen."""
+class Heartbeat(_Message, frozen=True, tag="Beat"):
+    """The leader of this ballot is alive, and the first `number` entries are chosen."""
 
     ballot: Ballot
     number: int
 
 
-class Here(_Said, frozen=True):
-    """So is this keeper, which knows so many chosen; news: what instances told it, put in by who sends it."""
+class HeartbeatReply(_Message, frozen=True, tag="Here"):
+    """A follower is alive and knows the first `number` entries to be chosen.
+
+    `reports` holds encoded reports of instances for the leader; the caller fills it in on sending the reply.
+    """
 
     ballot: Ballot
     number: int
-    news: bytes = b""
+    reports: bytes = field(name="news", default=b"")
 
 
-class Lack(_Said, frozen=True):
-    """Tell me what was chosen after this."""
+class CatchUpRequest(_Message, frozen=True, tag="Lack"):
+    """Asks for the chosen entries after the first `number`."""
 
     number: int
 
 
-class Fill(_Said, frozen=True):
-    """Chosen entries; state: all that came before them, where they do not reach back far enough."""
+class CatchUp(_Message, frozen=True, tag="Fill"):
+    """Chosen entries. `state` is a snapshot of everything before them, if older entries are not kept."""
 
     entries: tuple[Entry, ...]
     state: bytes = b""
 
 
-class Turned(_Said, frozen=True):
-    """Not in this ballot: a higher one was promised."""
+class BallotRejected(_Message, frozen=True, tag="Turned"):
+    """The ballot was rejected, since a higher one was promised."""
 
     promised: Ballot
 
 
-Said = Ask | Word | Prepare | Promise | Accept | Accepted | Beat | Here | Lack | Fill | Turned
+KeeperMessage = (
+    StateQuery
+    | StateReply
+    | Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | Heartbeat
+    | HeartbeatReply
+    | CatchUpRequest
+    | CatchUp
+    | BallotRejected
+)
 
 
 class Send(Struct, frozen=True):
-    """Action: tell another keeper."""
+    """Action: send a message to another keeper."""
 
     to: int
-    what: Said
+    message: KeeperMessage
 
 
 class Save(Struct, frozen=True):
-    """Action: this is on disk, synced, before the next action is carried out."""
+    """Action: write this to disk and sync it before the next action is carried out."""
 
     promised: Ballot
     vote: Vote | None
     chosen: tuple[Entry, ...]
-    state: bytes = b""  # in place of all that was chosen before
+    state: bytes = b""  # a snapshot that replaces all entries chosen before
 
 
 class Outcome(Struct, frozen=True):
-    """Action: what came of an offer. number 0: refused, or (lost) nobody knows."""
+    """Action: the result of a submission. number: its entry; 0 if it was rejected or its fate is unknown."""
 
     ticket: int
     number: int
     reason: str = ""
-    lost: bool = False
+    unknown: bool = False  # it may or may not be chosen later
 
 
-class Chose(Struct, frozen=True):
-    """Action: these entries are chosen and taken in; for whoever waits for news."""
+class EntriesChosen(Struct, frozen=True):
+    """Action: all entries up to `number` are chosen and applied; wakes requests that wait for updates."""
 
     number: int
 
 
-Action = Send | Save | Outcome | Chose
+Action = Send | Save | Outcome | EntriesChosen
 
 
-class Disk(Struct):
-    """What a keeper finds at its start."""
+class DurableState(Struct):
+    """What a keeper loads from its disk when it starts."""
 
-    promised: Ballot = NOUGHT
+    promised: Ballot = ZERO_BALLOT
     vote: Vote | None = None
     state: State | None = None
-    entries: list[Entry] | None = None  # after the state
+    entries: list[Entry] | None = None  # those after the state
 
 
 class Keeper:
-    """Keeper `me` of `size`."""
+    """Keeper number `me` of `size`."""
 
-    def __init__(self, me: int, size: int, disk: Disk, seed: int, now: float, trusted: bool = False) -> None:
+    def __init__(
+        self, me: int, size: int, disk: DurableState, seed: int, now: float, trust_disk: bool = False
+    ) -> None:
         self.me, self.size, self.random = me, size, Random(seed)
         self.promised, self.vote = disk.promised, disk.vote
         self.state = disk.state.copy() if disk.state is not None else State()
-        self.first = self.state.number  # entries behind this one are in the state only
+        self.snapshot_number = self.state.number  # entries up to this one are not in `entries`
         self.entries: deque[Entry] = deque()
-        for found in disk.entries or ():
-            if found.number == self.state.number + 1 and found.past == self.state.chain:
-                self.state.apply(found)
-                self.entries.append(found)
-        self.proven = trusted or size == 1
+        for stored in disk.entries or ():
+            if stored.number == self.state.number + 1 and stored.previous_chain == self.state.chain:
+                self.state.apply(stored)
+                self.entries.append(stored)
+        self.recovered = trust_disk or size == 1  # whether this keeper may vote
         self.nonce = self.random.getrandbits(60)
-        self.words: dict[int, Word] = {}
-        self.role, self.ballot = "follower", NOUGHT
+        self.state_replies: dict[int, StateReply] = {}
+        self.role, self.ballot = "follower", ZERO_BALLOT
         self.promises: dict[int, Promise] = {}
-        self.takers: set[int] = set()
-        self.heard: dict[int, float] = {}  # when each other keeper last answered the leader
+        self.acceptors: set[int] = set()  # keepers that have accepted the proposal
+        self.last_reply_at: dict[int, float] = {}  # when each other keeper last answered this leader
         self.leader = -1
-        self.leader_at = now
-        self.due = now + self._patience()
-        self.next_at = now
-        self.proposal: Entry | None = None  # the leader's, not chosen yet
-        self.ticket = 0  # whose proposal that is; 0: nobody's here
-        self.offers: deque[tuple[int, Body]] = deque()
+        self.leader_heard_at = now
+        self.election_due = now + self._election_timeout_ms()
+        self.next_send_at = now
+        self.proposal: Entry | None = None  # the leader's entry that is not chosen yet
+        self.ticket = 0  # the submission behind the proposal; 0: it was inherited from an earlier leader
+        self.submissions: deque[tuple[int, Body]] = deque()
         self.actions: list[Action] = []
 
-    # ---- looks
+    # ---- queries
 
     @property
     def majority(self) -> int:
-        """How many make one."""
+        """The number of keepers that form a majority."""
         return self.size // 2 + 1
 
     @property
@@ -216,323 +238,339 @@
 
     @property
     def certain(self) -> bool:
-        """Whether this keeper's word that nothing is new may count."""
-        return self.proven and self._open_vote() is None
+        """Whether this keeper may confirm that nothing after `number` is chosen: no vote of it is pending."""
+        return self.recovered and self._pending_vote() is None
 
     @property
     def leads(self) -> bool:
-        """Whether this keeper leads, as far as it knows."""
+        """Whether this keeper believes that it is the leader."""
         return self.role == "leader"
 
-    def since(self, number: int) -> Fill:
-        """What brings somebody who knows the first `number` up to date, or a part of it."""
-        if number < self.first or number > self.number:
-            return Fill((), encode(self.state))
-        skip = number - self.first
-        return Fill(tuple(self.entries[i] for i in range(skip, min(len(self.entries), skip + FILL_ENTRIES))))
+    def catch_up_since(self, number: int) -> CatchUp:
+        """The entries after the first `number`, up to a limit, or a snapshot if they are no longer kept."""
+        if number < self.snapshot_number or number > self.number:
+            return CatchUp((), encode(self.state))
+        skip = number - self.snapshot_number
+        return CatchUp(
+            tuple(self.entries[i] for i in range(skip, min(len(self.entries), skip + CATCH_UP_ENTRIES)))
+        )
 
     # ---- events
 
     def begin(self, now: float) -> list[Action]:
-        """The first event of a life."""
+        """Handle the start of the process; must be the first event."""
         self.actions = []
-        self._ask(now)
+        self._query_states(now)
         return self.actions
 
-    def hear(self, now: float, sender: int, what: Said) -> list[Action]:
-        """A message of another keeper."""
+    def receive(self, now: float, sender: int, message: KeeperMessage) -> list[Action]:
+        """Handle a message from another keeper."""
         self.actions = []
-        match what:
-            case Ask(nonce):
-                self._send(sender, Word(nonce, self.promised, self._open_vote(), self.number))
-            case Word():
-                self._word(now, sender, what)
-            case Fill():
-                self._fill(now, what)
-            case Lack(number):
-                self._send(sender, self.since(number))
-            case _ if not self.proven:
-                pass  # has no vote yet
+        match message:
+            case StateQuery(nonce):
+                self._send(sender, StateReply(nonce, self.promised, self._pending_vote(), self.number))
+            case StateReply():
+                self._handle_state_reply(now, sender, message)
+            case CatchUp():
+                self._handle_catch_up(now, message)
+            case CatchUpRequest(number):
+                self._send(sender, self.catch_up_since(number))
+            case _ if not self.recovered:
+                pass  # may not vote yet
             case Prepare(ballot):
-                self._prepare(now, sender, ballot)
+                self._handle_prepare(now, sender, ballot)
             case Promise():
-                self._promised(now, sender, what)
+                self._handle_promise(now, sender, message)
             case Accept():
-                self._accept(now, sender, what)
+                self._handle_accept(now, sender, message)
             case Accepted(ballot, number):
                 if self.leads and ballot == self.ballot:
-                    self.heard[sender] = now
+                    self.last_reply_at[sender] = now
                     if self.proposal is not None and number == self.proposal.number:
-                        self.takers.add(sender)
-                        self._count(now)
-            case Beat(ballot, number):
-                self._beat(now, sender, ballot, number)
-            case Here(ballot, number):
+                        self.acceptors.add(sender)
+                        self._check_accepted_by_majority(now)
+            case Heartbeat(ballot, number):
+                self._handle_heartbeat(now, sender, ballot, number)
+            case HeartbeatReply(ballot, number):
                 if self.leads and ballot == self.ballot:
-                    self.heard[sender] = now
+                    self.last_reply_at[sender] = now
                     if number < self.number:
-                        self._send(sender, self.since(number))
-            case Turned(promised):
+                        self._send(sender, self.catch_up_since(number))
+            case BallotRejected(promised):
                 if promised > self.ballot and self.role != "follower":
                     self._step_down(now)
         return self.actions
 
     def tick(self, now: float) -> list[Action]:
-        """Time went by."""
+        """Handle the passing of time: heartbeats, retransmissions and election timeouts."""
         self.actions = []
-        if not self.proven:
-            if now >= self.next_at:
-                self._ask(now)
+        if not self.recovered:
+            if now >= self.next_send_at:
+                self._query_states(now)
         elif self.leads:
-            if not self._followed(now):
-                self._step_down(now)  # nobody hears this leader: it must not keep others from standing
-            elif now >= self.next_at:
-                self.next_at = now + BEAT_MS
+            if not self._has_recent_majority(now):
+                self._step_down(now)  # a leader that hears no majority must not keep others from an election
+            elif now >= self.next_send_at:
+                self.next_send_at = now + HEARTBEAT_MS
                 for other in self.others:
                     self._send(
                         other,
                         Accept(self.ballot, self.proposal, self.number)
-                        if self.proposal is not None and other not in self.takers
-                        else Beat(self.ballot, self.number),
+                        if self.proposal is not None and other not in self.acceptors
+                        else Heartbeat(self.ballot, self.number),
                     )
-        elif now >= self.due:
-            self._stand(now)
+        elif now >= self.election_due:
+            self._start_election(now)
         return self.actions
 
-    def offer(self, now: float, ticket: int, body: Body) -> list[Action]:
-        """Somebody wants this written; Outcome(ticket) tells what came of it."""
+    def submit(self, now: float, ticket: int, body: Body) -> list[Action]:
+        """Submit an entry for the log; an Outcome action with this ticket gives the result."""
         self.actions = []
         if not self.leads:
             self.actions.append(Outcome(ticket, 0, "not the leader", True))
         else:
-            self.offers.append((ticket, body))
-            self._propose(now)
+            self.submissions.append((ticket, body))
+            self._propose_next(now)
         return self.actions
 
-    # ---- the start
+    # ---- recovery at the start
 
-    def _ask(self, now: float) -> None:
-        self.next_at = now + ASK_MS
-        if self.proven:
+    def _query_states(self, now: float) -> None:
+        self.next_send_at = now + STATE_QUERY_MS
+        if self.recovered:
             return
         for other in self.others:
-            if other not in self.words:
-                self._send(other, Ask(self.nonce))
+            if other not in self.state_replies:
+                self._send(other, StateQuery(self.nonce))
 
-    def _word(self, now: float, sender: int, what: Word) -> None:
-        """Guards against a disk that is wiped or old: the others know what this keeper may have promised."""
-        if self.proven or what.nonce != self.nonce:
+    def _handle_state_reply(self, now: float, sender: int, message: StateReply) -> None:
+        """Guards against a wiped or outdated disk: the other keepers know what this one may have promised."""
+        if self.recovered or message.nonce != self.nonce:
             return
-        self.words[sender] = what
-        self._prove(now, sender)
+        self.state_replies[sender] = message
+        self._try_recover(now, sender)
 
-    def _prove(self, now: float, source: int) -> None:
-        if len(self.words) < self.size - 1:
+    def _try_recover(self, now: float, source: int) -> None:
+        if len(self.state_replies) < self.size - 1:
             return
-        most = max(self.words, key=lambda k: self.words[k].number)
-        if self.words[most].number > self.number:
-            self._send(most, Lack(self.number))
+        furthest = max(self.state_replies, key=lambda k: self.state_replies[k].number)
+        if self.state_replies[furthest].number > self.number:
+            self._send(furthest, CatchUpRequest(self.number))
             return
-        self.promised = max([self.promised, *(word.promised for word in self.words.values())])
+        self.promised = max([self.promised, *(reply.promised for reply in self.state_replies.values())])
         votes = [
             v
-            for v in (self.vote, *(word.vote for word in self.words.values()))
+            for v in (self.vote, *(reply.vote for reply in self.state_replies.values()))
             if v is not None and v.entry.number == self.number + 1
         ]
         self.vote = max(votes, key=lambda v: v.ballot, default=None)
-        self.proven = True
-        self.leader_at, self.due = now, now + self._patience()
+        self.recovered = True
+        self.leader_heard_at, self.election_due = now, now + self._election_timeout_ms()
         self._save()
 
-    # ---- standing and voting
+    # ---- elections
 
-    def _patience(self) -> float:
-        return ELECT_MS * (1 + self.random.random())
+    def _election_timeout_ms(self) -> float:
+        return ELECTION_TIMEOUT_MS * (1 + self.random.random())
 
-    def _followed(self, now: float) -> bool:
-        """Whether a majority has answered this leader lately."""
-        return 1 + sum(now - self.heard[k] < 2 * ELECT_MS for k in self.others) >= self.majority
+    def _has_recent_majority(self, now: float) -> bool:
+        """Whether a majority, this leader included, has answered it recently."""
+        return (
+            1 + sum(now - self.last_reply_at[k] < 2 * ELECTION_TIMEOUT_MS for k in self.others)
+            >= self.majority
+        )
 
-    def _stand(self, now: float) -> None:
+    def _start_election(self, now: float) -> None:
         self.role, self.ballot = "candidate", (max(self.promised, self.ballot)[0] + 1, self.me)
-        self.due = now + self._patience()
+        self.election_due = now + self._election_timeout_ms()
         self.promised = self.ballot
         self._save()
-        self.promises = {self.me: Promise(self.ballot, self._open_vote(), self.number)}
+        self.promises = {self.me: Promise(self.ballot, self._pending_vote(), self.number)}
         for other in self.others:
             self._send(other, Prepare(self.ballot))
-        self._elect(now)
+        self._try_become_leader(now)
 
-    def _open_vote(self) -> Vote | None:
-        """What was accepted here and is not known to be chosen."""
+    def _pending_vote(self) -> Vote | None:
+        """The vote for the next entry, which was accepted here and is not known to be chosen."""
         return self.vote if self.vote is not None and self.vote.entry.number == self.number + 1 else None
 
-    def _prepare(self, now: float, sender: int, ballot: Ballot) -> None:
-        # guards a leader that is well against one whose link to it is cut
-        loyal = (
-            self._followed(now)
+    def _handle_prepare(self, now: float, sender: int, ballot: Ballot) -> None:
+        # keeps a working leader in office when a keeper that is cut off from it asks for votes
+        leader_alive = (
+            self._has_recent_majority(now)
             if self.leads
-            else (self.leader >= 0 and self.leader != sender and now - self.leader_at < ELECT_MS)
+            else (
+                self.leader >= 0
+                and self.leader != sender
+                and now - self.leader_heard_at < ELECTION_TIMEOUT_MS
+            )
         )
-        if ballot <= self.promised or loyal:
-            self._send(sender, Turned(self.promised))
+        if ballot <= self.promised or leader_alive:
+            self._send(sender, BallotRejected(self.promised))
             return
         self.promised = ballot
         if self.role != "follower":
             self._step_down(now)
-        self.due = now + self._patience()
+        self.election_due = now + self._election_timeout_ms()
         self._save()
-        self._send(sender, Promise(ballot, self._open_vote(), self.number))
+        self._send(sender, Promise(ballot, self._pending_vote(), self.number))
 
-    def _promised(self, now: float, sender: int, what: Promise) -> None:
-        if self.role == "candidate" and what.ballot == self.ballot:
-            self.promises[sender] = what
-            self._elect(now)
+    def _handle_promise(self, now: float, sender: int, message: Promise) -> None:
+        if self.role == "candidate" and message.ballot == self.ballot:
+            self.promises[sender] = message
+            self._try_become_leader(now)
 
-    def _elect(self, now: float) -> None:
+    def _try_become_leader(self, now: float) -> None:
         if self.role != "candidate" or len(self.promises) < self.majority:
             return
-        most = max(self.promises, key=lambda k: self.promises[k].number)
-        if self.promises[most].number > self.number:
-            self._send(most, Lack(self.number))  # chosen already: to be known before anything is proposed
+        furthest = max(self.promises, key=lambda k: self.promises[k].number)
+        if self.promises[furthest].number > self.number:
+            self._send(furthest, CatchUpRequest(self.number))  # to be learned before anything is proposed
             return
         votes = [
             p.vote
             for p in self.promises.values()
             if p.vote is not None and p.vote.entry.number == self.number + 1
         ]
-        self.role, self.leader, self.leader_at = "leader", self.me, now
-        self.heard = dict.fromkeys(self.others, now)
-        self.next_at = now
+        self.role, self.leader, self.leader_heard_at = "leader", self.me, now
+        self.last_reply_at = dict.fromkeys(self.others, now)
+        self.next_send_at = now
         self.ticket = 0
-        if votes:  # may have been chosen: nothing else can be
-            self._put_up(now, max(votes, key=lambda v: v.ballot).entry)
-        self.actions += self._beats(now)
-
-    def _beats(self, now: float) -> list[Action]:
-        self.next_at = now + BEAT_MS
-        return [Send(k, Beat(self.ballot, self.number)) for k in self.others] if self.proposal is None else []
+        if votes:  # the vote of the highest ballot may have been chosen, so it must be proposed again
+            self._start_accept_round(now, max(votes, key=lambda v: v.ballot).entry)
+        self.actions += self._heartbeats(now)
+
+    def _heartbeats(self, now: float) -> list[Action]:
+        self.next_send_at = now + HEARTBEAT_MS
+        return (
+            [Send(k, Heartbeat(self.ballot, self.number)) for k in self.others]
+            if self.proposal is None
+            else []
+        )
 
     def _step_down(self, now: float) -> None:
         self.role, self.leader = "follower", -1
-        self.due = now + self._patience()
+        self.election_due = now + self._election_timeout_ms()
         self.proposal = None
         if self.ticket:
             self.actions.append(Outcome(self.ticket, 0, "the leader changed", True))
         self.ticket = 0
-        while self.offers:
-            self.actions.append(Outcome(self.offers.popleft()[0], 0, "the leader changed", True))
+        while self.submissions:
+            self.actions.append(Outcome(self.submissions.popleft()[0], 0, "the leader changed", True))
 
     def _follow(self, now: float, sender: int, ballot: Ballot) -> bool:
-        """Whether this leader's word counts here."""
+        """Follow the leader of this ballot; False, with a rejection, if a higher ballot was promised."""
         if ballot < self.promised:
-            self._send(sender, Turned(self.promised))
+            self._send(sender, BallotRejected(self.promised))
             return False
         if self.role != "follower":
             self._step_down(now)
-        self.leader, self.leader_at, self.due = sender, now, now + self._patience()
+        self.leader, self.leader_heard_at, self.election_due = sender, now, now + self._election_timeout_ms()
         return True
 
-    # ---- an entry
+    # ---- choosing entries
 
-    def _propose(self, now: float) -> None:
-        """The next offer that fits."""
-        while self.leads and self.proposal is None and self.offers:
-            ticket, body = self.offers.popleft()
+    def _propose_next(self, now: float) -> None:
+        """Propose the next submission that is valid in the current state."""
+        while self.leads and self.proposal is None and self.submissions:
+            ticket, body = self.submissions.popleft()
             try:
                 self.state.check(body)
-            except Refused as reason:
+            except InvalidEntry as reason:
                 self.actions.append(Outcome(ticket, 0, str(reason)))
                 continue
             self.ticket = ticket
-            self._put_up(now, entry(self.number + 1, self.state.chain, body))
+            self._start_accept_round(now, make_entry(self.number + 1, self.state.chain, body))
 
-    def _put_up(self, now: float, found: Entry) -> None:
-        self.proposal, self.takers = found, {self.me}
-        self.vote = Vote(self.ballot, found)
+    def _start_accept_round(self, now: float, entry: Entry) -> None:
+        self.proposal, self.acceptors = entry, {self.me}
+        self.vote = Vote(self.ballot, entry)
         self.promised = max(self.promised, self.ballot)
         self._save()
-        self.next_at = now + BEAT_MS
+        self.next_send_at = now + HEARTBEAT_MS
         for other in self.others:
-            self._send(other, Accept(self.ballot, found, self.number))
-        self._count(now)
+            self._send(other, Accept(self.ballot, entry, self.number))
+        self._check_accepted_by_majority(now)
 
-    def _count(self, now: float) -> None:
-        if self.proposal is None or len(self.takers) < self.majority:
+    def _check_accepted_by_majority(self, now: float) -> None:
+        if self.proposal is None or len(self.acceptors) < self.majority:
             return
-        found, ticket = self.proposal, self.ticket
+        entry, ticket = self.proposal, self.ticket
         self.proposal, self.ticket = None, 0
-        self._choose([found])
+        self._apply_chosen([entry])
         if ticket:
-            self.actions.append(Outcome(ticket, found.number))
-        self._propose(now)
-        self.actions += self._beats(now)
+            self.actions.append(Outcome(ticket, entry.number))
+        self._propose_next(now)
+        self.actions += self._heartbeats(now)
 
-    def _accept(self, now: float, sender: int, what: Accept) -> None:
-        if not self._follow(now, sender, what.ballot):
+    def _handle_accept(self, now: float, sender: int, message: Accept) -> None:
+        if not self._follow(now, sender, message.ballot):
             return
-        self._advance(what.ballot, what.number)
-        if what.entry.number == self.number + 1 and what.entry.past == self.state.chain:
-            self.promised, self.vote = what.ballot, Vote(what.ballot, what.entry)
+        self._learn_chosen(message.ballot, message.number)
+        if message.entry.number == self.number + 1 and message.entry.previous_chain == self.state.chain:
+            self.promised, self.vote = message.ballot, Vote(message.ballot, message.entry)
             self._save()
-            self._send(sender, Accepted(what.ballot, what.entry.number))
-        elif what.entry.number > self.number:
-            self._send(sender, Lack(self.number))
+            self._send(sender, Accepted(message.ballot, message.entry.number))
+        elif message.entry.number > self.number:
+            self._send(sender, CatchUpRequest(self.number))
+
+    def _learn_chosen(self, ballot: Ballot, number: int) -> None:
+        """Learn from the leader of `ballot` that `number` entries are chosen.
 
-    def _advance(self, ballot: Ballot, number: int) -> None:
-        """The leader of this ballot says that so many are chosen: what was accepted in it here is."""
-        vote = self._open_vote()
+        A pending vote among these is chosen only if it was accepted in the same ballot.
+        """
+        vote = self._pending_vote()
         if vote is not None and vote.ballot == ballot and number >= vote.entry.number:
-            self._choose([vote.entry])
+            self._apply_chosen([vote.entry])
 
-    def _beat(self, now: float, sender: int, ballot: Ballot, number: int) -> None:
+    def _handle_heartbeat(self, now: float, sender: int, ballot: Ballot, number: int) -> None:
         if not self._follow(now, sender, ballot):
             return
-        self._advance(ballot, number)
+        self._learn_chosen(ballot, number)
         if number > self.number:
-            self._send(sender, Lack(self.number))
-        self._send(sender, Here(ballot, self.number))
-
-    def _fill(self, now: float, what: Fill) -> None:
-        """Chosen entries, from whoever knows them."""
-        if self.leads and (what.state or any(e.number > self.number for e in what.entries)):
-            self._step_down(now)  # what others chose meanwhile is no outcome of this ballot
-        if what.state:
-            state = decode(what.state)
+            self._send(sender, CatchUpRequest(self.number))
+        self._send(sender, HeartbeatReply(ballot, self.number))
+
+    def _handle_catch_up(self, now: float, message: CatchUp) -> None:
+        """Learn chosen entries, whichever keeper sent them."""
+        if self.leads and (message.state or any(e.number > self.number for e in message.entries)):
+            self._step_down(now)  # entries were chosen that this leader's ballot did not choose
+        if message.state:
+            state = decode(message.state)
             if state.number > self.number:
-                self.state, self.first = state, state.number
+                self.state, self.snapshot_number = state, state.number
                 self.entries.clear()
-                self._save(state=what.state)
-                self.actions.append(Chose(self.number))
-        self._choose([e for e in what.entries if e.number > self.number])
-        if not self.proven:
-            self._prove(now, -1)
+                self._save(state=message.state)
+                self.actions.append(EntriesChosen(self.number))
+        self._apply_chosen([e for e in message.entries if e.number > self.number])
+        if not self.recovered:
+            self._try_recover(now, -1)
         elif self.role == "candidate":
-            self._elect(now)
+            self._try_become_leader(now)
 
-    def _choose(self, found: list[Entry]) -> None:
-        taken = []
-        for one in found:
-            if one.number != self.number + 1 or one.past != self.state.chain:
+    def _apply_chosen(self, entries: list[Entry]) -> None:
+        applied = []
+        for entry in entries:
+            if entry.number != self.number + 1 or entry.previous_chain != self.state.chain:
                 break
-            self.state.apply(one)
-            self.entries.append(one)
-            taken.append(one)
-        if not taken:
+            self.state.apply(entry)
+            self.entries.append(entry)
+            applied.append(entry)
+        if not applied:
             return
         while len(self.entries) > KEPT_ENTRIES:
-            self.first = self.entries.popleft().number
-        self._save(tuple(taken))
-        self.actions.append(Chose(self.number))
+            self.snapshot_number = self.entries.popleft().number
+        self._save(tuple(applied))
+        self.actions.append(EntriesChosen(self.number))
 
     # ---- actions
 
-    def _send(self, to: int, what: Said) -> None:
-        self.actions.append(Send(to, what))
+    def _send(self, to: int, message: KeeperMessage) -> None:
+        self.actions.append(Send(to, message))
 
     def _save(self, chosen: tuple[Entry, ...] = (), state: bytes = b"") -> None:
         last = self.actions[-1] if self.actions else None
-        if isinstance(last, Save) and not state:  # nothing was said in between: one turn of the disk does
+        if isinstance(last, Save) and not state:  # nothing was sent in between, so one disk sync suffices
             self.actions[-1] = replace(
                 last, promised=self.promised, vote=self.vote, chosen=last.chosen + chosen
             )
--- a/tamarindfold/agreement/document.py
+++ b/tamarindfold/agreement/document.py
@@ -1,7 +1,8 @@
-"""The agreed settings as one document, and what an instance does that cannot know which version is in force.
+"""The shared settings as one document, and what applies while it is unknown which version is in force.
 
-What contradicts what is said here, field by field, and nowhere else (docs/agreement.md has it as a table):
-`narrowest` keeps to several versions at once, `cautious` to versions that nobody has heard of yet.
+This module alone defines, field by field, which changes contradict an older version (docs/agreement.md has
+the table). `most_restrictive` combines versions so that none of them is violated, and `forbid_repeats` allows
+for versions that the instance does not know yet.
 """
 
 from __future__ import annotations
@@ -35,29 +36,30 @@
     Server,
 )
 
-LEASE_PART = 0.75  # of the window; the rest is for drift of the clocks and for taking a change up
-LEAST_PART = 0.1  # a figure is lowered to this part at most while an instance is away that may not know it
-SUMMED = ("rate", "burst", "ceiling_rate", "ceiling_burst", "ceiling_slack", "open_limit")  # 0: no limit
-_EFFECTS = ("unsafe", "keyed", "safe")  # from the narrowest to the widest
+LEASE_PART = 0.75  # of the window; the rest allows for clock drift and for applying a change
+LOWEST_RATIO = 0.1  # by which a limit may be lowered while a lost instance may not know of it
+# limits of a plan that are divided among the instances; 0: no limit
+SUMMED_LIMITS = ("rate", "burst", "ceiling_rate", "ceiling_burst", "ceiling_slack", "open_limit")
+_EFFECTS = ("unsafe", "keyed", "safe")  # from most to least restrictive
 T = TypeVar("T")
 
 
 class Terms(Section, frozen=True):
-    """What the agreement itself goes by."""
+    """Parameters of the agreement itself."""
 
-    window_ms: Annotated[float, Meta(ge=200)] = 2_000  # no contradiction lasts longer
-    unled_ms: Ms = 60_000  # without a lease an instance acts on its share for so long, then on the least
-    least_share: Part = 0.001  # of every sum: what one that was away for longer may still act on
-    most_instances: Annotated[int, Meta(ge=1, le=1000)] = 350  # members, and those that are away
+    window_ms: Annotated[float, Meta(ge=200)] = 2_000  # longest time for which instances may disagree
+    unled_ms: Ms = 60_000  # an instance without a lease keeps its share for so long, then drops to the least
+    least_share: Part = 0.001  # of each summed limit, for an instance that was without a lease for longer
+    most_instances: Annotated[int, Meta(ge=1, le=1000)] = 350  # members and lost instances together
 
     @property
     def lease_ms(self) -> float:
-        """How long after it asked a majority an instance may act on what it was told."""
+        """Length of a lease, from the sending of the renewal requests that a majority confirmed."""
         return LEASE_PART * self.window_ms
 
 
 class Document(Section, frozen=True):
-    """All that the instances agree on, but the roster."""
+    """All shared settings. The roster is kept apart, in state.State."""
 
     classes: Annotated[list[ClassConfig], Meta(min_length=1)]
     routes: Annotated[list[Route], Meta(min_length=1)]
@@ -70,38 +72,41 @@
     terms: Terms = Terms()
 
 
-SHARED = ("classes", "routes", "fleet", "plans", "customers", "safety", "counter")
+SHARED_SECTIONS = ("classes", "routes", "fleet", "plans", "customers", "safety", "counter")
 
 
 def merged(local: InstanceConfig, document: Document, gateways: int, index: int) -> GatewayConfig:
-    """What one instance is, by its own file and what is agreed; ValueError where they don't go together."""
+    """The configuration of one instance: its own file and the shared document.
+
+    Raises ValueError if they contradict each other.
+    """
     own = {name: getattr(local, name) for name in OwnConfig.__struct_fields__}
     own["instance"] = replace(local.instance, gateways=gateways, index=index)
     own["upstream"] = replace(local.upstream, max_attempts=document.max_attempts)
-    made = GatewayConfig(**own, **{name: getattr(document, name) for name in SHARED})
+    made = GatewayConfig(**own, **{name: getattr(document, name) for name in SHARED_SECTIONS})
     derive.check(made)
     return made
 
 
 def check(document: Document) -> None:
-    """ValueError("place: reason") for what no instance could apply."""
+    """Raise ValueError("path: reason") if no instance could apply the document."""
     if document.customers.width:
         raise ValueError("customers.width: every customer's quota is shared out among all instances; give 0")
-    look = Introspection(url="http://127.0.0.1/", client_id="any")
-    bare = {name: getattr(document, name) for name in SHARED}
-    if not document.plans:  # the registry has them: each instance says whether it follows one
-        bare["plans"] = [PlanConfig(name="any", rate=0, burst=0)]
+    introspection = Introspection(url="http://127.0.0.1/", client_id="any")
+    shared = {name: getattr(document, name) for name in SHARED_SECTIONS}
+    if not document.plans:  # the registry has them; each instance reports whether it follows a registry
+        shared["plans"] = [PlanConfig(name="any", rate=0, burst=0)]
         if document.customers.default_plan:
             raise ValueError("customers.default_plan: there are no plans here")
-    derive.check(GatewayConfig(introspection=look, instance=Instance(), **bare))
+    derive.check(GatewayConfig(introspection=introspection, instance=Instance(), **shared))
 
 
-def check_after(old: Document, new: Document) -> None:
-    """ValueError where a running instance that holds the old could not go over to the new."""
-    for what in ("classes", "plans"):
-        had, has = ([part.name for part in getattr(document, what)] for document in (old, new))
-        if has[: len(had)] != had:
-            raise ValueError(f"{what}: {', '.join(had)} keep their places; new ones follow")
+def check_change(old: Document, new: Document) -> None:
+    """Raise ValueError if a running instance could not change from the old document to the new one."""
+    for section in ("classes", "plans"):
+        before, after = ([part.name for part in getattr(document, section)] for document in (old, new))
+        if after[: len(before)] != before:
+            raise ValueError(f"{section}: {', '.join(before)} keep their places; new ones follow")
     if bool(old.fleet.feed) != bool(new.fleet.feed):
         raise ValueError("fleet: a running instance does not change between a feed and a list")
     if old.fleet.feed != new.fleet.feed:
@@ -110,21 +115,22 @@
         raise ValueError("plans: a running instance does not change between a registry and its own plans")
 
 
-# ---- what may be in force
+# ---- combining versions that may be in force
 
 
-def _least(a: float, b: float) -> float:
-    """The lower of two limits; 0 is none."""
+def _lower_limit(a: float, b: float) -> float:
+    """The lower of two limits, where 0 means no limit."""
     return min(a, b) if a and b else a or b
 
 
 def _pairs(a: Sequence[T], b: Sequence[T], *names: str) -> Iterable[tuple[T, T | None]]:
+    """Each part of `a` with the part of `b` that has the same values of these fields, if any."""
     known = {tuple(getattr(part, name) for name in names): part for part in b}
     return [(part, known.get(tuple(getattr(part, name) for name in names))) for part in a]
 
 
-def _class(a: ClassConfig, b: ClassConfig | None) -> ClassConfig:
-    """The narrower effect; keyed twice over differing groups is as good as not keyed."""
+def _restrict_class(a: ClassConfig, b: ClassConfig | None) -> ClassConfig:
+    """The more restrictive effect; a class that is keyed in two different groups counts as unsafe."""
     if b is None:
         return a
     effect = min(a.effect, b.effect, key=_EFFECTS.index)
@@ -135,14 +141,14 @@
     return replace(a, effect=effect, window_ms=window, group=keyed.group if effect == "keyed" else a.group)
 
 
-def _plan(a: PlanConfig, b: PlanConfig | None) -> PlanConfig:
+def _restrict_plan(a: PlanConfig, b: PlanConfig | None) -> PlanConfig:
     if b is None:
         return a
-    return replace(a, **{name: _least(getattr(a, name), getattr(b, name)) for name in SUMMED})
+    return replace(a, **{name: _lower_limit(getattr(a, name), getattr(b, name)) for name in SUMMED_LIMITS})
 
 
-def _servers(a: list[Server], b: list[Server]) -> list[Server]:
-    """The union of the drains: what either does not list as ready gets nothing new."""
+def _restrict_servers(a: list[Server], b: list[Server]) -> list[Server]:
+    """The union of the drains: a server gets new requests only if both versions list it as ready."""
     return [
         replace(
             one, state="ready" if other and (one.state, other.state) == ("ready", "ready") else "draining"
@@ -151,7 +157,8 @@
     ]
 
 
-def _two(a: Document, b: Document) -> Document:
+def _restrict(a: Document, b: Document) -> Document:
+    """Settings that violate neither version."""
     safe_a, safe_b = a.safety, b.safety
     most_units = min(a.customers.most_units, b.customers.most_units)
     routes = [
@@ -167,10 +174,10 @@
     ]
     return replace(
         a,
-        classes=[_class(one, other) for one, other in _pairs(a.classes, b.classes, "name")],
-        plans=[_plan(one, other) for one, other in _pairs(a.plans, b.plans, "name")],
+        classes=[_restrict_class(one, other) for one, other in _pairs(a.classes, b.classes, "name")],
+        plans=[_restrict_plan(one, other) for one, other in _pairs(a.plans, b.plans, "name")],
         routes=routes,
-        fleet=replace(a.fleet, static=_servers(a.fleet.static, b.fleet.static)),
+        fleet=replace(a.fleet, static=_restrict_servers(a.fleet.static, b.fleet.static)),
         customers=replace(
             a.customers, most_units=most_units, default_units=min(a.customers.default_units, most_units)
         ),
@@ -183,54 +190,57 @@
             drain_grace_ms=min(safe_a.drain_grace_ms, safe_b.drain_grace_ms),
             answer_grace_ms=min(safe_a.answer_grace_ms, safe_b.answer_grace_ms),
         ),
-        # totals that are counted in two places let a quota pass twice: nobody counts meanwhile
+        # totals in two counters at once would let a quota pass twice, so none is used in the joint phase
         counter=a.counter if a.counter == b.counter else None,
         max_attempts=min(a.max_attempts, b.max_attempts),
     )
 
 
-def narrowest(documents: Sequence[Document]) -> Document:
-    """What is allowed by each of these versions; figures that contradict nothing are the first one's."""
-    return reduce(_two, documents)
+def most_restrictive(documents: Sequence[Document]) -> Document:
+    """Settings that violate none of these versions; fields that can't contradict are the first version's."""
+    return reduce(_restrict, documents)
+
 
+def needs_joint_phase(old: Document, new: Document) -> bool:
+    """Whether an instance on the old version might do what the new one forbids.
 
-def needs_joint(old: Document, new: Document) -> bool:
-    """Whether some instance on the old would do what the new forbids: the narrower of both goes between."""
-    return narrowest([old, new]) != old
+    If so, a joint phase, in which the most restrictive of both applies, must precede the new version.
+    """
+    return most_restrictive([old, new]) != old
 
 
-def harmless(old: Document, new: Document) -> bool:
-    """Whether instances may stay on different ones of the two: nothing in them contradicts."""
-    return not needs_joint(old, new) and not needs_joint(new, old)
+def compatible(old: Document, new: Document) -> bool:
+    """Whether neither version contradicts the other, so that both may be in use at the same time."""
+    return not needs_joint_phase(old, new) and not needs_joint_phase(new, old)
 
 
-def cautious(document: Document) -> Document:
-    """For an instance without a lease: a version it has not heard of may call any class unsafe to repeat."""
+def forbid_repeats(document: Document) -> Document:
+    """For an instance without a lease: an unknown version may have declared any class unsafe to repeat."""
     return replace(document, classes=[replace(cls, effect="unsafe") for cls in document.classes])
 
 
-def lowered(old: Document, new: Document) -> float:
-    """The least part that a summed figure keeps from one version to another; 1 where none is lowered."""
-    part = 1.0
+def lowest_ratio(old: Document, new: Document) -> float:
+    """The lowest ratio of a new summed limit to the old one; 1 if none is lowered."""
+    lowest = 1.0
     for one, other in _pairs(old.plans, new.plans, "name"):
-        for name in SUMMED if other is not None else ():
+        for name in SUMMED_LIMITS if other is not None else ():
             before, after = getattr(one, name), getattr(other, name)
             if after and (not before or after < before):
-                part = min(part, after / before if before else 0.0)
-    return part
+                lowest = min(lowest, after / before if before else 0.0)
+    return lowest
 
 
-# ---- for a person
+# ---- display
 
 
-def flat(document: Document) -> dict[str, Any]:
-    """The document as place to value, lists by the names of their parts."""
+def flatten(document: Document) -> dict[str, Any]:
+    """The document as a map from paths to values; list items are addressed by name, address or route."""
     out: dict[str, Any] = {}
 
-    def walk(value: Any, place: str) -> None:
+    def walk(value: Any, path: str) -> None:
         if isinstance(value, dict):
             for key, part in value.items():
-                walk(part, f"{place}.{key}" if place else key)
+                walk(part, f"{path}.{key}" if path else key)
         elif isinstance(value, list) and value and isinstance(value[0], dict):
             for i, part in enumerate(value):
                 key = (
@@ -239,19 +249,19 @@
                     or " ".join(str(part[k]) for k in ("method", "path") if k in part)
                     or i
                 )
-                walk(part, f"{place}[{key}]")
+                walk(part, f"{path}[{key}]")
         else:
-            out[place] = value
+            out[path] = value
 
     walk(msgspec.to_builtins(document), "")
     return out
 
 
 def differences(old: Document, new: Document) -> list[str]:
-    """Lines that say what changed."""
-    before, after = flat(old), flat(new)
+    """One line for each value that changed."""
+    before, after = flatten(old), flatten(new)
     return [
-        f"{place}: {before.get(place, '(none)')} -> {after.get(place, '(none)')}"
-        for place in dict.fromkeys([*before, *after])
-        if before.get(place) != after.get(place)
+        f"{path}: {before.get(path, '(none)')} -> {after.get(path, '(none)')}"
+        for path in dict.fromkeys([*before, *after])
+        if before.get(path) != after.get(path)
     ]
--- a/tamarindfold/agreement/driver.py
+++ b/tamarindfold/agreement/driver.py
@@ -1,4 +1,7 @@
-"""One instance's links to the keepers, its copy on disk, and the lock that proves an earlier life is over."""
+"""One instance's connections to the keepers, its saved copy of the state, and the lock on its folder.
+
+The lock proves that the previous incarnation has ended, so that the new one may replace it at once.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 from msgspec import Struct
 
 from tamarindfold.agreement import wire
-from tamarindfold.agreement.lease import Acting, Lease, Renewed
+from tamarindfold.agreement.lease import EffectiveSettings, Lease, RenewReply
 from tamarindfold.agreement.state import encode
 from tamarindfold.ds.backoff import Backoff
 from tamarindfold.ds.durable import replace
@@ -28,35 +31,35 @@
 from tamarindfold.links.subscription import Subscription
 from tamarindfold.links.link import Link
 
-WAITS = 8  # questions in a window, at least, while nothing is new
-LOOK_S = 0.01  # the lease is looked at so often, beside each decision
-CONNECT_S = 1.0
-LEAST_PAUSE_S, MOST_PAUSE_S = 0.05, 0.5
-SAVE_PAUSE_S = 0.05  # between two copies, so that a flood of changes is one write
-LEAVE_S = 1.0  # a leaver waits so long for the keepers to know
+RENEWALS_PER_WINDOW = 8  # at least, to each keeper, while there are no updates
+LEASE_CHECK_S = 0.01  # interval, in addition to the check before each decision
+CONNECT_TIMEOUT_S = 1.0
+MIN_RECONNECT_S, MAX_RECONNECT_S = 0.05, 0.5
+SAVE_PAUSE_S = 0.05  # between two saves, so that a burst of changes is written once
+LEAVE_TIMEOUT_S = 1.0  # for the keepers to take a leaving instance off the roster
 
 
 def now_ms() -> float:
-    """The lease's clock: monotonic."""
+    """The lease's clock, which is monotonic."""
     return time.monotonic() * 1000
 
 
-class Taken(Exception):
-    """Another living process has this instance's folder."""
+class FolderInUse(Exception):
+    """Another running process has the lock on this instance's folder."""
 
 
-class Copy(Struct, frozen=True):
-    """The file: what the log came to, and whether the one who wrote it has left."""
+class SavedState(Struct, frozen=True):
+    """Content of the state file: the encoded state, and whether the instance had left the roster."""
 
     state: bytes
     left: bool
 
 
-class Folder:
-    """An instance's own folder: only one living process has it, since the lock ends with the process."""
+class InstanceFolder:
+    """An instance's folder, held by one running process at a time: the lock ends with the process."""
 
-    def __init__(self, folder: Path, life: str) -> None:
-        """OSError where it can't be used; Taken where another process has it."""
+    def __init__(self, folder: Path, incarnation: str) -> None:
+        """Raises OSError if the folder can't be used, FolderInUse if another process holds it."""
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / "agreed.bin"
         self.lock = os.open(folder / "instance.lock", os.O_RDWR | os.O_CREAT, 0o644)
@@ -64,32 +67,35 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(self.lock)
-            raise Taken(f"another process has {folder}") from None
-        self.replaces = os.pread(self.lock, 64, 0).decode("ascii", "replace")
+            raise FolderInUse(f"another process holds the lock on {folder}") from None
+        self.replaces = os.pread(self.lock, 64, 0).decode("ascii", "replace")  # the previous incarnation
         os.ftruncate(self.lock, 0)
-        os.pwrite(self.lock, life.encode(), 0)
+        os.pwrite(self.lock, incarnation.encode(), 0)
         os.fsync(self.lock)
 
-    def read(self) -> Copy | None:
-        """What an earlier life left; ValueError where that can't be read."""
+    def read(self) -> SavedState | None:
+        """What an earlier incarnation saved, if anything. Raises ValueError if it can't be read."""
         if not self.path.exists():
             return None
         try:
-            return msgspec.msgpack.decode(self.path.read_bytes(), type=Copy)
+            return msgspec.msgpack.decode(self.path.read_bytes(), type=SavedState)
         except (OSError, msgspec.MsgspecError) as error:
             raise ValueError(f"{self.path}: {error}") from None
 
     def write(self, state: bytes, left: bool) -> None:
-        """Replace the copy; OSError where that can't be done."""
-        replace(self.path, [msgspec.msgpack.encode(Copy(state, left))])
+        """Replace the saved state. Raises OSError if that fails."""
+        replace(self.path, [msgspec.msgpack.encode(SavedState(state, left))])
 
     def close(self) -> None:
-        """Let go of the lock."""
+        """Release the lock."""
         os.close(self.lock)
 
 
-class Agreement:
-    """What is agreed, as one instance follows it. `changed` is called whenever what to act on may differ."""
+class AgreementClient:
+    """Follows the replicated settings for one instance.
+
+    `changed` is called whenever the effective settings may differ from those returned last.
+    """
 
     def __init__(
         self,
@@ -102,49 +108,49 @@
         log: Callable[..., None],
         zone: int = 0,
     ) -> None:
-        """OSError or Taken where the folder can't be had."""
+        """Raises OSError or FolderInUse if the folder can't be used."""
         self.name, self.key, self.changed, self.log = name, key, changed, log
-        life = uuid.uuid4().hex
-        self.folder = Folder(folder, life) if folder is not None else None
-        self.lease = Lease(life, name, len(keepers), self.folder.replaces if self.folder else "", zone)
+        incarnation = uuid.uuid4().hex
+        self.folder = InstanceFolder(folder, incarnation) if folder is not None else None
+        self.lease = Lease(incarnation, name, len(keepers), self.folder.replaces if self.folder else "", zone)
         self.followers = [
             Subscription(
-                Link(address, CONNECT_S, Backoff(LEAST_PAUSE_S, MOST_PAUSE_S), source_address),
-                partial(self._talk, k),
-                self._lost,
+                Link(address, CONNECT_TIMEOUT_S, Backoff(MIN_RECONNECT_S, MAX_RECONNECT_S), source_address),
+                partial(self._renew_continually, k),
+                self._count_lost_connection,
             )
             for k, address in enumerate(keepers)
         ]
         self.to_save = Event()
-        self.hindrance = ""
-        self.strange: set[int] = set()  # keepers of another past
+        self.join_error = ""
+        self.diverged: set[int] = set()  # keepers whose log is not the one that this instance follows
         self.counts = dict.fromkeys(
             ("answers", "changes", "lost", "bad", "other_past", "not_saved", "unled"), 0
         )
         self.greenlets: list[gevent.Greenlet] = []
 
     def start(self) -> None:
-        """Take up what an earlier life left, then follow the keepers."""
+        """Restore what an earlier incarnation saved, then follow the keepers."""
         if self.folder is not None:
             try:
-                if (copy := self.folder.read()) is not None:
-                    self.lease.restore(copy.state, copy.left)
-                    self.log("agreement.restored", version=self.lease.state.version, left=copy.left)
+                if (saved := self.folder.read()) is not None:
+                    self.lease.restore(saved.state, saved.left)
+                    self.log("agreement.restored", version=self.lease.state.version, left=saved.left)
             except ValueError as error:
                 self.log("agreement.copy_unusable", reason=str(error))
         for follower in self.followers:
             follower.start()
-        self.greenlets = [gevent.spawn(self._watch), gevent.spawn(self._save)]
+        self.greenlets = [gevent.spawn(self._watch_lease), gevent.spawn(self._save_changes)]
 
     def stop(self) -> None:
-        """Leave the roster, if the keepers can be told in time, and end."""
+        """Leave the roster, if the keepers confirm that in time, and stop."""
         self.lease.leaving = True
         self.changed()
-        self._hurry()  # a question that waits for news would hide that this instance leaves
-        with gevent.Timeout(LEAVE_S, False):
-            while self.lease.life in self.lease.state.members:
-                gevent.sleep(LOOK_S)
-        left = self.lease.life not in self.lease.state.members
+        self._renew_at_once()  # a request that waits for updates would delay the departure
+        with gevent.Timeout(LEAVE_TIMEOUT_S, False):
+            while self.lease.incarnation in self.lease.state.members:
+                gevent.sleep(LEASE_CHECK_S)
+        left = self.lease.incarnation not in self.lease.state.members
         for follower in self.followers:
             follower.stop()
         gevent.killall(self.greenlets)
@@ -155,87 +161,87 @@
                 self.log("agreement.not_saved", reason=str(error))
             self.folder.close()
 
-    def acting(self) -> Acting | None:
-        """What to act on now."""
-        return self.lease.acting(now_ms())
+    def effective_settings(self) -> EffectiveSettings | None:
+        """What to act on now; None if no settings are known."""
+        return self.lease.effective_settings(now_ms())
 
     @property
-    def led_until_ms(self) -> float:
-        """When the lease ends, by the monotonic clock."""
-        return self.lease.until(now_ms())
+    def lease_until_ms(self) -> float:
+        """When the lease ends, by the monotonic clock; minus infinity if there is none."""
+        return self.lease.expires_at(now_ms())
 
-    def could(self, version: int, cannot: str) -> None:
-        """What was found out of the next version: whether it can be applied here."""
-        if self.lease.judged(version, cannot):
-            self._hurry()
+    def report_applicability(self, version: int, error: str) -> None:
+        """Report to the keepers whether the next version can be applied here; error: why not, or empty."""
+        if self.lease.record_applicability(version, error):
+            self._renew_at_once()
 
-    def _hurry(self) -> None:
-        """Ask anew at once, with what there is to say."""
+    def _renew_at_once(self) -> None:
+        """Drop all connections, so that new requests with the latest report go out at once."""
         for follower in self.followers:
             follower.link.disconnect()
 
     # ---- greenlets
 
-    def _lost(self, reason: Exception | None) -> None:
+    def _count_lost_connection(self, reason: Exception | None) -> None:
         self.counts["lost"] += 1
 
-    def _talk(self, keeper: int, sock: socket.socket) -> None:
+    def _renew_continually(self, keeper: int, sock: socket.socket) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         reader = ResponseReader(wire.BODY_BYTES)
         follower = self.followers[keeper]
         host = "{}:{}".format(*follower.link.address)
         while True:
             window_ms = self.lease.state.terms.window_ms
-            wait_ms = window_ms / WAITS
+            wait_ms = window_ms / RENEWALS_PER_WINDOW
             sock.settimeout((wait_ms + window_ms) / 1000)
-            asked = self.lease.ask(now_ms(), wait_ms)
+            request = self.lease.renew_request(now_ms(), wait_ms)
             status, body = send_request(
-                sock, reader, "POST", "/v1/renew", host, msgspec.msgpack.encode(asked)
+                sock, reader, "POST", "/v1/renew", host, msgspec.msgpack.encode(request)
             )
             if status != 200:
                 raise ValueError(f"keeper {keeper} answered {status}")
-            self._answered(keeper, body)
+            self._handle_reply(keeper, body)
             follower.message_received()
-            if asked.number == self.lease.state.number and not self.lease.led:
-                gevent.sleep(wait_ms / 4000)  # waits for a place: no need to ask in a row
+            if request.number == self.lease.state.number and not self.lease.has_lease:
+                gevent.sleep(wait_ms / 4000)  # waits for a place; the keeper answers such requests at once
 
-    def _answered(self, keeper: int, body: bytes) -> None:
+    def _handle_reply(self, keeper: int, body: bytes) -> None:
         try:
-            answer = wire.unpack(body, Renewed, self.key, "renewed")
-            new = self.lease.answered(keeper, answer)
+            reply = wire.unpack(body, RenewReply, self.key, "renewed")
+            new = self.lease.handle_reply(keeper, reply)
         except (BadUpdate, ValueError) as error:
             self.counts["bad"] += 1
             raise ValueError(f"keeper {keeper}: {error}") from None
         self.counts["answers"] += 1
-        if answer.other_past:
+        if reply.diverged:
             self.counts["other_past"] += 1
-            if keeper not in self.strange:  # told once, not with every answer
+            if keeper not in self.diverged:  # logged once, not with every reply
                 self.log(
-                    "agreement.other_past", keeper=keeper, number=answer.number, held=self.lease.state.number
+                    "agreement.other_past", keeper=keeper, number=reply.number, held=self.lease.state.number
                 )
-            self.strange.add(keeper)
+            self.diverged.add(keeper)
         else:
-            self.strange.discard(keeper)
-        if answer.hindrance != self.hindrance:
-            self.hindrance = answer.hindrance
-            if answer.hindrance:
-                self.log("agreement.no_place", reason=answer.hindrance)
+            self.diverged.discard(keeper)
+        if reply.join_error != self.join_error:
+            self.join_error = reply.join_error
+            if reply.join_error:
+                self.log("agreement.no_place", reason=reply.join_error)
         if new:
             self.counts["changes"] += 1
             self.to_save.set()
-        if new or not self.lease.led:
+        if new or not self.lease.has_lease:
             self.changed()
 
-    def _watch(self) -> None:
+    def _watch_lease(self) -> None:
         while True:
-            gevent.sleep(LOOK_S)
-            if self.lease.led and now_ms() >= self.led_until_ms:
+            gevent.sleep(LEASE_CHECK_S)
+            if self.lease.has_lease and now_ms() >= self.lease_until_ms:
                 self.counts["unled"] += 1
                 self.changed()
-            elif not self.lease.led and self.lease.share:
-                self.changed()  # its time on the old share may be over
+            elif not self.lease.has_lease and self.lease.share:
+                self.changed()  # the time for which it keeps its share may have ended
 
-    def _save(self) -> None:
+    def _save_changes(self) -> None:
         while True:
             self.to_save.wait()
             self.to_save.clear()
--- a/tamarindfold/agreement/lease.py
+++ b/tamarindfold/agreement/lease.py
@@ -1,221 +1,234 @@
-"""What one instance may act on: the agreed state as far as it knows it, and its lease on that being all.
+"""One instance's view of the replicated settings, and its lease on the claim that the view is complete.
 
-A lease counts from the moment at which a question was sent, and a majority of the keepers must have answered
-that nothing else is chosen, nor may be. Whatever is chosen later was accepted by one of them after its
-answer: so no change can be in force for longer than the lease before this instance stops acting on what it
-contradicts. Time is monotonic. No I/O, no clock.
+A lease counts from the moment at which a renewal request was sent, and needs replies from a majority of the
+keepers that no further entry is chosen or may be. Whatever is chosen later was accepted by one of these
+keepers after its reply; so a change cannot have been in force for longer than the lease before this instance
+stops acting on the settings that it contradicts. Time is monotonic. No I/O, no clock.
+
+RenewRequest and RenewReply are sent with their field names; `field(name=...)` keeps the sent name.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 from tamarindfold.agreement import document as documents
-from tamarindfold.agreement.consensus import Fill
-from tamarindfold.agreement.document import LEAST_PART, Document
+from tamarindfold.agreement.consensus import CatchUp
+from tamarindfold.agreement.document import LOWEST_RATIO, Document
 from tamarindfold.agreement.state import Member, State, decode
 
 
-class Renew(Struct, frozen=True):
-    """What an instance asks each keeper, again and again; see reports.Report for the fields."""
+class RenewRequest(Struct, frozen=True):
+    """An instance's report to a keeper (see reports.Report), and its request for updates and a renewal."""
 
-    life: str
+    incarnation: str = field(name="life")
     name: str
     number: int
     chain: bytes
-    sent: float  # by the instance's own clock; comes back with the answer
-    wait_ms: float = 0.0  # the answer may wait so long for news
-    ready: int = 0
-    cannot: str = ""
-    wants: str = "stay"
+    sent: float  # when it was sent, by the instance's clock; comes back with the reply
+    wait_ms: float = 0.0  # how long the keeper may hold back the reply while there are no updates
+    ready_version: int = field(name="ready", default=0)
+    apply_error: str = field(name="cannot", default="")
+    intent: str = field(name="wants", default="stay")
     replaces: str = ""
     zone: int = 0
-    led_ms: float = 0.0
+    lease_remaining_ms: float = field(name="led_ms", default=0.0)
 
 
-class Renewed(Struct, frozen=True):
-    """The answer. certain: nothing beyond `number` is chosen or may be, as far as this keeper can tell."""
+class RenewReply(Struct, frozen=True):
+    """A keeper's reply. certain: as far as it can tell, no entry after `number` is chosen or may be."""
 
     sent: float
     number: int
     certain: bool
-    member: bool  # the asker has a place, after all that is known here
-    other_past: bool = False  # what the asker holds is not of this log
-    hindrance: str = ""  # why it gets no place
-    news: Fill = Fill(())
+    member: bool  # whether the instance has a place, as far as the keeper knows
+    diverged: bool = field(name="other_past", default=False)  # the instance's entries are not of this log
+    join_error: str = field(name="hindrance", default="")  # why it can't have a place
+    updates: CatchUp = field(name="news", default=CatchUp(()))
 
 
-class Acting(Struct, frozen=True):
-    """What the instance is to act on. share 0: on nothing yet."""
+class EffectiveSettings(Struct, frozen=True):
+    """What the instance is to act on now. share 0: nothing yet."""
 
     document: Document
     version: int
     share: float
     gateways: int
     index: int
-    led: bool
-    number: int  # the fencing number of its place; 0: none
-    why: str = ""  # why it is not led
+    has_lease: bool
+    number: int  # the fencing token of its place; 0: none
+    why: str = ""  # why it has no lease
 
 
 class Lease:
-    """One instance's view."""
+    """The state as one instance knows it, and the lease on it."""
 
-    def __init__(self, life: str, name: str, keepers: int, replaces: str = "", zone: int = 0) -> None:
-        self.life, self.name, self.keepers = life, name, keepers
+    def __init__(self, incarnation: str, name: str, keepers: int, replaces: str = "", zone: int = 0) -> None:
+        self.incarnation, self.name, self.keepers = incarnation, name, keepers
         self.replaces, self.zone = replaces, zone
         self.state = State()
-        self.fresh: dict[int, float] = {}  # by keeper: when the last question was sent that it answered so
-        self.ready, self.cannot = 0, ""  # what the driver found out of the next version
-        self.unfit: dict[int, str] = {}  # versions that can't be applied here, and why
+        self.confirmed_at: dict[int, float] = {}  # by keeper: send time of the last request that it confirmed
+        self.ready_version, self.apply_error = 0, ""  # as last recorded by record_applicability
+        self.inapplicable: dict[int, str] = {}  # versions that can't be applied here, with the reason
         self.leaving = False
-        self.share = 0.0  # what it acts on
+        self.share = 0.0  # the share that it acts on
         self.place = (0, 0)  # index, and the number of the entry that gave it
-        self.unled_at = self.led_until = -inf  # since when it has been without a lease; its last one's end
-        self.led = False
-        self.restored = False  # it lives on what an earlier life knew
-        self.hindrance = ""
-        self._narrow: tuple[int, Document] | None = None  # worked out once for each state
-
-    # ---- asking
-
-    def ask(self, now: float, wait_ms: float) -> Renew:
-        """The next question to any keeper."""
-        member = self.state.members.get(self.life)
-        wants = "leave" if self.leaving else "stay" if member is not None else "join"
-        return Renew(
-            self.life,
+        self.without_lease_since = self.last_lease_end = -inf
+        self.has_lease = False
+        self.restored = False  # it acts on the state that an earlier incarnation saved
+        self.join_error = ""
+        self._restricted: tuple[int, Document] | None = None  # cached, by the number of the state
+
+    # ---- renewal
+
+    def renew_request(self, now: float, wait_ms: float) -> RenewRequest:
+        """The next request, to any keeper."""
+        member = self.state.members.get(self.incarnation)
+        intent = "leave" if self.leaving else "stay" if member is not None else "join"
+        return RenewRequest(
+            self.incarnation,
             self.name,
             self.state.number,
             self.state.chain,
             now,
             wait_ms,
-            self.ready,
-            self.cannot,
-            wants,
+            self.ready_version,
+            self.apply_error,
+            intent,
             self.replaces,
             self.zone,
-            max(0.0, self.until(now) - now) if self.led else 0.0,
+            max(0.0, self.expires_at(now) - now) if self.has_lease else 0.0,
         )
 
-    def answered(self, keeper: int, answer: Renewed) -> bool:
-        """Take in an answer; whether the state changed. ValueError where the news do not follow."""
-        self.hindrance = answer.hindrance
-        if answer.other_past:
+    def handle_reply(self, keeper: int, reply: RenewReply) -> bool:
+        """Apply a reply and return whether the state changed. Raises ValueError if its updates do not fit."""
+        self.join_error = reply.join_error
+        if reply.diverged:
             return False
         before = self.state.number
-        self._take(answer.news)
-        if answer.certain and answer.member and answer.number <= self.state.number:
-            self.fresh[keeper] = max(self.fresh.get(keeper, -inf), answer.sent)
+        self._apply_updates(reply.updates)
+        if reply.certain and reply.member and reply.number <= self.state.number:
+            self.confirmed_at[keeper] = max(self.confirmed_at.get(keeper, -inf), reply.sent)
         return self.state.number > before
 
-    def _take(self, news: Fill) -> None:
-        if news.state:
-            state = decode(news.state)
+    def _apply_updates(self, updates: CatchUp) -> None:
+        if updates.state:
+            state = decode(updates.state)
             if state.number > self.state.number:
                 self.state = state
-        for entry in news.entries:
+        for entry in updates.entries:
             if entry.number > self.state.number:
-                state = self.state.copy()  # a reader of the old one must not see half of a change
+                state = self.state.copy()  # readers of the old one must not see half of a change
                 state.apply(entry)
                 self.state = state
 
-    def judged(self, version: int, cannot: str) -> bool:
-        """The driver found out whether a version can be applied here; whether that is news."""
-        if (version, cannot) == (self.ready, self.cannot):
+    def record_applicability(self, version: int, error: str) -> bool:
+        """Record whether a version can be applied here (error: why not); whether that was not known yet."""
+        if (version, error) == (self.ready_version, self.apply_error):
             return False
-        self.ready, self.cannot = version, cannot
-        self.unfit = {v: why for v, why in self.unfit.items() if v >= self.state.version}
-        if cannot:
-            self.unfit[version] = cannot
+        self.ready_version, self.apply_error = version, error
+        self.inapplicable = {v: why for v, why in self.inapplicable.items() if v >= self.state.version}
+        if error:
+            self.inapplicable[version] = error
         return True
 
     def restore(self, data: bytes, left: bool) -> None:
-        """What an earlier life knew; unless it left, the least of its share is there to act on.
+        """Load the state that an earlier incarnation saved. Raises ValueError if the bytes hold none.
 
-        ValueError where the bytes hold no state.
+        Unless that incarnation left the roster, the instance may act on the least share until it has a lease.
         """
         self.state = decode(data)
         self.restored = self.state.document is not None and not left
 
     # ---- the lease
 
-    def until(self, now: float) -> float:
-        """When the lease ends; in the past where there is none."""
-        sent = sorted(self.fresh.values(), reverse=True)
+    def expires_at(self, now: float) -> float:
+        """When the lease ends; minus infinity if there is none."""
+        sent = sorted(self.confirmed_at.values(), reverse=True)
         majority = self.keepers // 2 + 1
         if len(sent) < majority or self.leaving:
             return -inf
-        member = self.state.members.get(self.life)
-        if member is None or not member.acting or self.cannot_apply:
+        member = self.state.members.get(self.incarnation)
+        if member is None or not member.active or self.in_force_inapplicable:
             return -inf
         return sent[majority - 1] + self.state.terms.lease_ms
 
     @property
-    def cannot_apply(self) -> bool:
-        """The version in force is one that this instance can't apply: somebody forced it."""
-        return self.state.version in self.unfit
+    def in_force_inapplicable(self) -> bool:
+        """Whether the version in force can't be applied here, which means that an operator forced it."""
+        return self.state.version in self.inapplicable
 
-    def acting(self, now: float) -> Acting | None:
-        """What to act on now; None where nothing is known at all."""
+    def effective_settings(self, now: float) -> EffectiveSettings | None:
+        """What to act on now; None if no settings are known."""
         state = self.state
         if state.document is None:
             return None
-        led = now < self.until(now)
-        if led:
-            return self._led(now)
-        if self.led:  # perhaps long ago: who stood still must not take its time on the old share from now on
-            self.unled_at = min(now, self.led_until)
-        self.led = False
-        return self._unled(now)
-
-    def _led(self, now: float) -> Acting:
+        has_lease = now < self.expires_at(now)
+        if has_lease:
+            return self._settings_with_lease(now)
+        if self.has_lease:
+            # The lease may have ended long ago, if the process was suspended: the time for which the instance
+            # may keep its share counts from the end of the lease, not from now.
+            self.without_lease_since = min(now, self.last_lease_end)
+        self.has_lease = False
+        return self._settings_without_lease(now)
+
+    def _settings_with_lease(self, now: float) -> EffectiveSettings:
         state = self.state
-        member = state.members[self.life]
-        document = state.acted_on(self.name)
+        member = state.members[self.incarnation]
+        document = state.document_for(self.name)
         assert document is not None
-        self.led, self.restored, self.led_until = True, False, self.until(now)
+        self.has_lease, self.restored, self.last_lease_end = True, False, self.expires_at(now)
         self.share, self.place = state.share, (member.index, member.number)
-        return Acting(
+        return EffectiveSettings(
             document,
             state.version,
             state.share,
-            state.gateways(state.share),
+            state.gateway_count(state.share),
             member.index,
             True,
             member.number,
         )
 
-    def _kept(self, member: Member | None) -> tuple[float, int]:
-        """Share and index without a lease: what it had, but for what it says that it has taken up since."""
+    def _share_without_lease(self, member: Member | None) -> tuple[float, int]:
+        """Share and index without a lease: the last ones, but no more than the state applied since allows.
+
+        The keepers rely on that, since the instance reports which entries it has applied.
+        """
         if member is None:
             return self.share, self.place[0]
-        return min(self.share, self.state.share), member.index if member.acting else self.place[0]
+        return min(self.share, self.state.share), member.index if member.active else self.place[0]
 
-    def _unled(self, now: float) -> Acting:
-        """The narrowest of what may be in force: the share it had, later the least; no repeats."""
+    def _settings_without_lease(self, now: float) -> EffectiveSettings:
+        """The most restrictive of all versions that may be in force, without repeats.
+
+        The share is the last one for `unled_ms`, and from then on the least one.
+        """
         state, terms = self.state, self.state.terms
-        if self._narrow is None or self._narrow[0] != state.number:
-            self._narrow = state.number, documents.cautious(documents.narrowest(state.may_be_in_force()))
-        document = self._narrow[1]
-        member = state.members.get(self.life)
-        long_ago = now - self.unled_at >= terms.unled_ms
-        share, index = self._kept(member)
+        if self._restricted is None or self._restricted[0] != state.number:
+            self._restricted = (
+                state.number,
+                documents.forbid_repeats(documents.most_restrictive(state.possible_documents())),
+            )
+        document = self._restricted[1]
+        member = state.members.get(self.incarnation)
+        long_ago = now - self.without_lease_since >= terms.unled_ms
+        share, index = self._share_without_lease(member)
         if long_ago and (self.share or self.restored):
-            share = min(share or 1.0, terms.least_share * LEAST_PART)
+            share = min(share or 1.0, terms.least_share * LOWEST_RATIO)
         self.share = share
-        gateways = state.gateways(share) if share else 1
-        if long_ago or index >= gateways:  # no place of its own: spread by its name
-            index = int.from_bytes(self.life.encode()[:8], "big") % gateways
+        gateways = state.gateway_count(share) if share else 1
+        if long_ago or index >= gateways:  # it has no index of its own: derive one from the incarnation
+            index = int.from_bytes(self.incarnation.encode()[:8], "big") % gateways
         why = (
-            "can't apply what is in force: " + self.unfit[state.version]
-            if self.cannot_apply
+            "can't apply what is in force: " + self.inapplicable[state.version]
+            if self.in_force_inapplicable
             else "leaving"
             if self.leaving
             else "no place yet"
-            if member is None or not member.acting
+            if member is None or not member.active
             else "no majority of keepers answers"
         )
-        return Acting(document, state.version, share, gateways, index, False, 0, why)
+        return EffectiveSettings(document, state.version, share, gateways, index, False, 0, why)
--- a/tamarindfold/agreement/log.py
+++ b/tamarindfold/agreement/log.py
@@ -1,7 +1,10 @@
-"""The entries of the agreed log: what may be written there, each with a hash over its past.
+"""The entries of the replicated log, linked by a hash chain.
 
-An entry's number is the one fencing number: a place in the roster, a lease and a take-over are named by the
-entry that gave them.
+Entry numbers serve as fencing tokens: an instance's place in the roster, its lease and any takeover are
+identified by the number of the entry that granted them.
+
+Class names and field names are part of the stored format. Where a Python name differs from it, `tag=` or
+`field(name=...)` gives the stored name.
 """
 
 from __future__ import annotations
@@ -9,35 +12,38 @@
 import hashlib
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from tamarindfold.agreement.document import Document
 
 CHAIN_BYTES = 16
-BEGINNING = bytes(CHAIN_BYTES)
+EMPTY_CHAIN = bytes(CHAIN_BYTES)
 
 
 class Entry(Struct, frozen=True):
-    """One entry; body is encoded, so that the hash is over exactly what was agreed."""
+    """One log entry. The body is kept encoded, so that the hash covers exactly the bytes that were agreed."""
 
     number: int
-    past: bytes  # the chain of the entry before it
+    previous_chain: bytes = field(name="past")  # chain hash of the previous entry
     body: bytes
 
     @property
     def chain(self) -> bytes:
-        """The hash over this entry and all before it."""
+        """The hash over this entry and all entries before it."""
         return hashlib.blake2b(
-            self.past + self.number.to_bytes(8, "big") + self.body, digest_size=CHAIN_BYTES
+            self.previous_chain + self.number.to_bytes(8, "big") + self.body, digest_size=CHAIN_BYTES
         ).digest()
 
 
 class _Body(Struct, frozen=True, tag=True):
-    """What an entry says."""
+    """The decoded content of an entry."""
 
 
 class Proposed(_Body, frozen=True):
-    """A version of the settings, made from version `base`; token names the proposal, sent once or often."""
+    """A new version of the settings was proposed, made from version `base`.
+
+    `token` identifies the proposal, so that a client may send it again without creating a second version.
+    """
 
     document: Document
     base: int
@@ -45,90 +51,104 @@
     reason: str
     token: str
     at_ms: float
-    first: tuple[str, ...] = ()  # names of the instances that are to have it before the others
-    forced: bool = False  # in force whatever instances say
+    canaries: tuple[str, ...] = field(name="first", default=())  # names of instances that apply it first
+    forced: bool = False  # comes into force without waiting for the instances
 
 
-class JointBegan(_Body, frozen=True):
-    """From here on each instance keeps to the old version and to this one."""
+class JointPhaseStarted(_Body, frozen=True, tag="JointBegan"):
+    """From this entry on, instances obey both the version in force and this one."""
 
     version: int
 
 
-class Begun(_Body, frozen=True):
-    """The version is in force at the instances that are to have it first."""
+class CanaryStarted(_Body, frozen=True, tag="Begun"):
+    """The version takes effect on its canary instances."""
 
     version: int
 
 
 class InForce(_Body, frozen=True):
-    """The version is in force."""
+    """The version takes effect on all instances."""
 
     version: int
     forced: bool = False
 
 
 class Dropped(_Body, frozen=True):
-    """The version, and those made from it, never come in force."""
+    """The version, and the queued versions made from it, will never be in force."""
 
     version: int
     reasons: tuple[str, ...]
 
 
 class Newcomer(Struct, frozen=True):
-    """Who wants a place: `life` names the process, `replaces` one that is certainly gone."""
+    """A process that asks for a place. `replaces` is an earlier incarnation that is known to have ended."""
 
     name: str
-    life: str
+    incarnation: str = field(name="life")
     replaces: str = ""
     zone: int = 0
 
 
 class Joined(_Body, frozen=True):
-    """These have places in the roster, and act once that is settled."""
+    """These processes have a place in the roster, and become active with the next RosterSettled."""
 
     newcomers: tuple[Newcomer, ...]
 
 
 class Left(_Body, frozen=True):
-    """These act no more: they said so, or whoever can know it did."""
+    """These incarnations have stopped acting, by their own report or an operator's."""
 
-    lives: tuple[str, ...]
+    incarnations: tuple[str, ...] = field(name="lives")
 
 
 class Lost(_Body, frozen=True):
-    """These get no lease any more, but may act on what they had; versions: the oldest each may know."""
+    """These incarnations get no more leases, but may still act on the share they had.
+
+    `versions` gives, for each of them, the oldest version that it may still be acting on.
+    """
 
-    lives: tuple[str, ...]
+    incarnations: tuple[str, ...] = field(name="lives")
     versions: tuple[int, ...]
 
 
-class Floored(_Body, frozen=True):
-    """These act on the least share by now, and on no index."""
+class ShareReduced(_Body, frozen=True, tag="Floored"):
+    """These lost incarnations now act on the least share only, and no longer occupy an index."""
 
-    lives: tuple[str, ...]
+    incarnations: tuple[str, ...] = field(name="lives")
 
 
-class Settled(_Body, frozen=True):
-    """Every member has taken up all until `until`: shares grow, newcomers act."""
+class RosterSettled(_Body, frozen=True, tag="Settled"):
+    """Every member has applied the log up to entry `until`: shares may grow and newcomers become active."""
 
     until: int
 
 
-Body = Proposed | JointBegan | Begun | InForce | Dropped | Joined | Left | Lost | Floored | Settled
+Body = (
+    Proposed
+    | JointPhaseStarted
+    | CanaryStarted
+    | InForce
+    | Dropped
+    | Joined
+    | Left
+    | Lost
+    | ShareReduced
+    | RosterSettled
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Body)
 
 
-def entry(number: int, past: bytes, body: Body) -> Entry:
-    """An entry that follows on a past."""
-    return Entry(number, past, _encoder.encode(body))
+def make_entry(number: int, previous_chain: bytes, body: Body) -> Entry:
+    """Encode `body` as the entry that follows the one with this chain hash."""
+    return Entry(number, previous_chain, _encoder.encode(body))
 
 
-def read(found: Entry) -> Body:
-    """What an entry says; ValueError where it is no entry of this log."""
+def decode_body(entry: Entry) -> Body:
+    """Decode an entry's body. Raises ValueError if it is not a known kind of entry."""
     try:
-        return _decoder.decode(found.body)
+        return _decoder.decode(entry.body)
     except msgspec.MsgspecError as error:
-        raise ValueError(f"entry {found.number}: {error}") from None
+        raise ValueError(f"entry {entry.number}: {error}") from None
--- a/tamarindfold/agreement/operator.py
+++ b/tamarindfold/agreement/operator_client.py
@@ -1,4 +1,4 @@
-"""Asks keepers for a person, over plain sockets: one after another until one can answer."""
+"""Client for operators: sends proposals and commands to the keepers over plain blocking sockets."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from tamarindfold.http1.responses import BadResponse, ResponseReader
 from tamarindfold.identity.wire import BadUpdate
 
-CALL_S = 6.0
-PAUSE_S = 0.1
+CALL_TIMEOUT_S = 6.0
+RETRY_PAUSE_S = 0.1
 T = TypeVar("T", bound=Struct)
 
 
 class NoAnswer(RuntimeError):
-    """No keeper could say: the last one's reason."""
+    """No keeper gave a usable answer; the text is the reason of the last failure."""
 
 
-class Operator:
+class OperatorClient:
     """Calls to the keepers of one fleet."""
 
     def __init__(self, keepers: Sequence[tuple[str, int]], key: Ed25519PrivateKey) -> None:
         self.keepers, self.key = list(keepers), key
 
-    def call(self, keeper: int, path: str, body: bytes, kind: type[T], said: str) -> T:
-        """One call to one keeper; NoAnswer where nothing good came back."""
+    def call(self, keeper: int, path: str, body: bytes, kind: type[T], purpose: str) -> T:
+        """Call one keeper. Raises NoAnswer unless it sends a valid reply of this kind and purpose."""
         host, port = self.keepers[keeper]
         try:
-            with socket.create_connection((host, port), timeout=CALL_S) as sock:
+            with socket.create_connection((host, port), timeout=CALL_TIMEOUT_S) as sock:
                 reader = ResponseReader(wire.BODY_BYTES)
                 status, answer = send_request(
                     sock, reader, "POST", path, f"{host}:{port}", body, [(b"connection", b"close")]
@@ -45,49 +45,50 @@
         if status != 200:
             raise NoAnswer(f"keeper {keeper} answered {status}: {answer.decode(errors='replace')}")
         try:
-            return wire.unpack(answer, kind, self.key.public_key(), said)
+            return wire.unpack(answer, kind, self.key.public_key(), purpose)
         except BadUpdate as error:
             raise NoAnswer(f"keeper {keeper}: {error}") from None
 
-    def looks(self) -> list[wire.Look]:
-        """What each keeper that answers sees; NoAnswer where none does."""
+    def statuses(self) -> list[wire.KeeperStatus]:
+        """The status of each keeper that answers. Raises NoAnswer if none does."""
         found, reason = [], "no keepers"
         for keeper in range(len(self.keepers)):
             try:
-                found.append(self.call(keeper, "/v1/look", b"", wire.Look, "look"))
+                found.append(self.call(keeper, "/v1/look", b"", wire.KeeperStatus, "look"))
             except NoAnswer as error:
                 reason = str(error)
         if not found:
             raise NoAnswer(reason)
         return found
 
-    def look(self) -> wire.Look:
-        """What the keeper sees that knows most; the leader's word goes first."""
-        looks = self.looks()
-        return next((look for look in looks if look.leader == look.keeper and look.proven), None) or max(
-            looks, key=lambda look: decode(look.state).number
+    def status(self) -> wire.KeeperStatus:
+        """The status of the leader or, if none answers, of the keeper that knows most entries."""
+        statuses = self.statuses()
+        return next((s for s in statuses if s.leader == s.keeper and s.recovered), None) or max(
+            statuses, key=lambda s: decode(s.state).number
         )
 
-    def tell(self, what: wire.Propose | wire.Command, seconds: float) -> wire.Told:
-        """Have the leader do something; NoAnswer where it can't be known in time what came of it."""
-        said = "propose" if isinstance(what, wire.Propose) else "command"
-        body = wire.pack(what, self.key, said)
+    def send(self, request: wire.Proposal | wire.OperatorCommand, seconds: float) -> wire.OperatorReply:
+        """Send a request to the leader, with retries. Raises NoAnswer if the result stays unknown."""
+        purpose = "propose" if isinstance(request, wire.Proposal) else "command"
+        body = wire.pack(request, self.key, purpose)
         until, keeper, reason = time.monotonic() + seconds, 0, ""
-        sent_on: set[int] = set()
+        redirected_by: set[int] = set()
         while time.monotonic() < until:
             try:
-                told = self.call(keeper, f"/v1/{said}", body, wire.Told, "told")
+                reply = self.call(keeper, f"/v1/{purpose}", body, wire.OperatorReply, "told")
             except NoAnswer as error:
                 reason, keeper = str(error), (keeper + 1) % len(self.keepers)
             else:
-                if not told.again:
-                    return told
-                reason = told.reason
-                if told.leader not in (-1, keeper, *sent_on):
-                    sent_on.add(keeper)  # each keeper's word on who leads is followed at once, but once only
-                    keeper = told.leader
+                if not reply.retry:
+                    return reply
+                reason = reply.reason
+                if reply.leader not in (-1, keeper, *redirected_by):
+                    # follow each keeper's redirection at once, but only once between two pauses
+                    redirected_by.add(keeper)
+                    keeper = reply.leader
                     continue
                 keeper = (keeper + 1) % len(self.keepers)
-            sent_on.clear()
-            time.sleep(PAUSE_S)
-        raise NoAnswer(f"nothing is known of what came of it: {reason}")
+            redirected_by.clear()
+            time.sleep(RETRY_PAUSE_S)
+        raise NoAnswer(f"the result of the request is unknown: {reason}")
--- a/tamarindfold/agreement/reports.py
+++ b/tamarindfold/agreement/reports.py
@@ -1,90 +1,93 @@
-"""What instances say of themselves to the keepers, gathered for the one that leads. No I/O, no clock."""
+"""The instances' reports to the keepers, collected for the leader. No I/O, no clock."""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
-FORGET_MS = 60_000.0
-MOST_REPORTS = 2_000  # instances that are remembered; the longest unheard go first
+EXPIRY_MS = 60_000.0
+MAX_REPORTS = 2_000  # the instances that were silent for longest are discarded first
 
 
 class Report(Struct):
-    """What one instance said last. age_ms: how long ago, where it was handed on."""
+    """The last report of one instance. age_ms: how old it was when it was forwarded to another keeper.
 
-    life: str
+    Field names are sent; `field(name=...)` keeps the sent name.
+    """
+
+    incarnation: str = field(name="life")
     name: str
-    number: int = 0  # what it has taken up of the log
-    ready: int = 0  # the version that it could apply
-    cannot: str = ""  # why it could not apply that
-    wants: str = "stay"  # or join, leave
+    number: int = 0  # entries that it has applied
+    ready_version: int = field(name="ready", default=0)  # the next version, once it has tried that
+    apply_error: str = field(name="cannot", default="")  # why it can't apply that version; empty if it can
+    intent: str = field(name="wants", default="stay")  # or "join", "leave"
     replaces: str = ""
     zone: int = 0
-    led_ms: float = 0.0  # how long its lease still ran, by its own word: for a person only
+    lease_remaining_ms: float = field(name="led_ms", default=0.0)  # its own claim; for operators only
     age_ms: float = 0.0
 
 
 class Reports:
-    """The last report of each instance, with the time at which it was heard."""
+    """The last report of each instance, with the time at which it was made."""
 
     def __init__(self) -> None:
-        self.known: dict[str, tuple[float, Report]] = {}
-        self.fresh: dict[str, None] = {}  # not handed on yet
+        self.known: dict[str, tuple[float, Report]] = {}  # by incarnation, longest silent first
+        self.unsent: dict[str, None] = {}  # incarnations whose report the leader has not been sent yet
         self.dropped = 0
 
-    def take(self, now: float, report: Report) -> None:
-        """A report, by whatever way it came; an older one that comes late changes nothing."""
+    def record(self, now: float, report: Report) -> None:
+        """Record a report, received directly or forwarded, unless a newer one is known."""
         at = now - report.age_ms
-        before = self.known.pop(report.life, None)
+        before = self.known.pop(report.incarnation, None)
         if before is not None and before[0] > at:
             at, report = before
-        self.known[report.life] = at, report
-        self.fresh[report.life] = None
-        if len(self.known) > MOST_REPORTS:
+        self.known[report.incarnation] = at, report
+        self.unsent[report.incarnation] = None
+        if len(self.known) > MAX_REPORTS:
             gone = next(iter(self.known))
             del self.known[gone]
-            self.fresh.pop(gone, None)
+            self.unsent.pop(gone, None)
             self.dropped += 1
 
-    def aged(self, now: float, lives: Iterable[str]) -> list[Report]:
-        """The reports of these, each with its age."""
+    def with_ages(self, now: float, incarnations: Iterable[str]) -> list[Report]:
+        """The reports of these incarnations, with their age filled in."""
         return [
             msgspec.structs.replace(report, age_ms=now - at)
-            for at, report in (self.known[life] for life in lives if life in self.known)
+            for at, report in (self.known[key] for key in incarnations if key in self.known)
         ]
 
-    def news(self, now: float) -> bytes:
-        """What the leader has not been told yet."""
-        fresh = self.aged(now, self.fresh)
-        self.fresh.clear()
-        return msgspec.msgpack.encode(fresh) if fresh else b""
+    def take_unsent(self, now: float) -> bytes:
+        """Encode the reports that the leader has not been sent yet, and mark them as sent."""
+        unsent = self.with_ages(now, self.unsent)
+        self.unsent.clear()
+        return msgspec.msgpack.encode(unsent) if unsent else b""
 
-    def forget(self, now: float, places: Collection[str]) -> None:
-        """Let go of who has no place and has not been heard for long."""
-        for life in [
-            life for life, (at, _) in self.known.items() if life not in places and now - at > FORGET_MS
+    def expire(self, now: float, in_roster: Collection[str]) -> None:
+        """Discard reports of incarnations that are not in the roster and have been silent for EXPIRY_MS."""
+        for incarnation in [
+            key for key, (at, _) in self.known.items() if key not in in_roster and now - at > EXPIRY_MS
         ]:
-            del self.known[life]
-            self.fresh.pop(life, None)
+            del self.known[incarnation]
+            self.unsent.pop(incarnation, None)
 
-    def hand_over(self, now: float, news: bytes) -> None:
-        """What another keeper was told; ValueError where it can't be read."""
-        if news:
+    def merge(self, now: float, encoded: bytes) -> None:
+        """Record reports that another keeper forwarded. Raises ValueError if they can't be decoded."""
+        if encoded:
             try:
-                handed = msgspec.msgpack.decode(news, type=list[Report])
+                forwarded = msgspec.msgpack.decode(encoded, type=list[Report])
             except msgspec.MsgspecError as error:
                 raise ValueError(f"reports: {error}") from None
-            for report in handed:
-                self.take(now, report)
+            for report in forwarded:
+                self.record(now, report)
 
-    def heard_ago(self, now: float, life: str) -> float:
-        """Milliseconds since an instance was heard; infinite where it never was."""
-        at = self.known.get(life)
+    def silence_ms(self, now: float, incarnation: str) -> float:
+        """Milliseconds since the last report of an incarnation; infinite if there is none."""
+        at = self.known.get(incarnation)
         return now - at[0] if at is not None else float("inf")
 
-    def of(self, life: str) -> Report | None:
-        """The last report of an instance."""
-        known = self.known.get(life)
+    def latest(self, incarnation: str) -> Report | None:
+        """The last report of an incarnation."""
+        known = self.known.get(incarnation)
         return known[1] if known is not None else None
--- a/tamarindfold/agreement/state.py
+++ b/tamarindfold/agreement/state.py
@@ -1,9 +1,12 @@
-"""What the agreed log comes to: the version in force, those on their way, the roster, and everybody's share.
+"""The state that the log adds up to: version in force, queued versions, roster, shares. No I/O, no clock.
 
-Shares: a member acts on `share` of every sum. One that was lost keeps what it may act on (`held`) until it is
-back, is known to be gone, or has been away for so long that it acts on the least. A share grows only with
-Settled, which is written once every member has taken up the last change of the roster; so what all act on
-together never exceeds the whole, whoever lags. No I/O, no clock.
+Shares: every member acts on the fraction `share` of each summed limit. A member that was lost keeps the share
+it may still act on (`held`) until it returns, is known to be gone, or has been away for so long that it acts
+on the least share only. Shares grow only with RosterSettled, which is written once every member has applied
+the last change of the roster; the shares that all instances act on together thus never exceed the whole,
+however far some of them lag behind.
+
+A snapshot of the state is stored and sent with the field names; `field(name=...)` keeps the stored name.
 """
 
 from __future__ import annotations
@@ -14,67 +17,70 @@
 from msgspec import Struct, field
 
 from tamarindfold.agreement import document as documents
-from tamarindfold.agreement.document import LEAST_PART, Document, Terms
+from tamarindfold.agreement.document import LOWEST_RATIO, Document, Terms
 from tamarindfold.agreement.log import (
-    BEGINNING,
-    Begun,
+    EMPTY_CHAIN,
     Body,
+    CanaryStarted,
     Dropped,
     Entry,
-    Floored,
     InForce,
     Joined,
-    JointBegan,
+    JointPhaseStarted,
     Left,
     Lost,
     Newcomer,
     Proposed,
-    Settled,
-    read,
+    RosterSettled,
+    ShareReduced,
+    decode_body,
 )
 
-MOST_QUEUED = 16  # versions on their way
-KEPT_NOTES = 200  # versions in the history
-KEPT_DOCUMENTS = 20  # whole, of those that are in force no more
-KEPT_PART = 1e-7  # of every sum: where lost ones may act on all the rest, newcomers still have a share
+MAX_QUEUED = 16  # versions
+KEPT_HISTORY = 200  # versions
+KEPT_DOCUMENTS = 20  # complete documents of versions that are no longer in force
+RESERVED_PART = 1e-7  # of each limit; leaves newcomers a share where lost instances hold all the rest
 
 
-class Refused(ValueError):
-    """An entry that does not fit what is agreed, and why."""
+class InvalidEntry(ValueError):
+    """An entry that must not be written in the current state; the text gives the reason."""
 
 
 class Member(Struct):
-    """An instance with a place. number: the entry that gave it, its fencing number."""
+    """An instance in the roster. number: the entry that gave it its place, which is its fencing token."""
 
     name: str
-    life: str
+    incarnation: str = field(name="life")
     number: int
     index: int
     zone: int = 0
-    acting: bool = False
+    active: bool = field(name="acting", default=False)  # acts on a share, since the first RosterSettled
+
 
+class HeldShare(Struct):
+    """The share that a lost instance may still act on.
 
-class Held(Struct):
-    """What a lost instance may still act on; version: the oldest it may know; index -1: the least share."""
+    version: the oldest version it may be acting on. index -1: none, since it acts on the least share.
+    """
 
     name: str
-    life: str
+    incarnation: str = field(name="life")
     number: int
     index: int
     share: float
     version: int
 
 
-class Pending(Struct):
-    """A version on its way."""
+class PendingVersion(Struct):
+    """A proposed version that is not in force yet."""
 
     version: int
     document: Document
-    first: tuple[str, ...] = ()
+    canaries: tuple[str, ...] = field(name="first", default=())  # names of instances that apply it first
     forced: bool = False
 
 
-class Note(Struct):
+class VersionRecord(Struct):
     """One version in the history."""
 
     version: int
@@ -83,261 +89,268 @@
     reason: str
     at_ms: float
     token: str
-    became: str = "pending"
-    since: int = 0  # the entry from which it was in force
+    status: str = field(name="became", default="pending")
+    in_force_since: int = field(name="since", default=0)  # number of the entry that put it in force
 
 
 class State(Struct):
-    """All of it, as it stands after entry `number`."""
+    """The state after entry `number`."""
 
     number: int = 0
-    chain: bytes = BEGINNING
+    chain: bytes = EMPTY_CHAIN
     version: int = 0
     documents: dict[int, Document] = field(default_factory=dict)
-    queue: list[Pending] = field(default_factory=list)
-    dropped: Pending | None = None  # the last that was: an operator may force it
-    phase: str = ""  # of the first in the queue: "", "joint" or "first"
-    phase_number: int = 0
-    members: dict[str, Member] = field(default_factory=dict)
-    held: dict[str, Held] = field(default_factory=dict)
+    queue: list[PendingVersion] = field(default_factory=list)
+    dropped: PendingVersion | None = None  # the most recent one; an operator may still force it
+    phase: str = ""  # of the first queued version: "", "joint", or "first" (on its canary instances)
+    phase_number: int = 0  # the entry that began the phase
+    members: dict[str, Member] = field(default_factory=dict)  # by incarnation
+    held: dict[str, HeldShare] = field(default_factory=dict)  # by incarnation
     share: float = 1.0
-    settled_share: float = 0.0
-    dirty: int = 0  # the last change of the roster that is not settled
-    notes: list[Note] = field(default_factory=list)
+    settled_share: float = 0.0  # as of the last RosterSettled; the most that a lost member may act on
+    unsettled_number: int = field(name="dirty", default=0)  # last change of the roster; 0: it is settled
+    history: list[VersionRecord] = field(name="notes", default_factory=list)
 
-    # ---- looks
+    # ---- queries
 
     @property
     def document(self) -> Document | None:
-        """What is in force."""
+        """The document in force."""
         return self.documents.get(self.version)
 
     @property
     def terms(self) -> Terms:
-        """What the agreement goes by."""
+        """The parameters of the agreement itself."""
         return self.document.terms if self.document is not None else Terms()
 
     @property
     def newest(self) -> int:
-        """The last version that was proposed and not dropped."""
+        """The newest version that was proposed and not dropped."""
         return self.queue[-1].version if self.queue else self.version
 
-    def may_be_in_force(self) -> list[Document]:
-        """All versions of which this log knows that may be, or may soon be, in force."""
+    def possible_documents(self) -> list[Document]:
+        """All known versions that are in force or may soon be."""
         known = self.document
         return ([known] if known is not None else []) + [p.document for p in self.queue]
 
-    def acted_on(self, name: str) -> Document | None:
-        """What a member that has taken up this much acts on."""
+    def document_for(self, name: str) -> Document | None:
+        """The document that a member with this name acts on once it has applied this state."""
         known = self.document
         if known is None or not self.queue or not self.phase:
             return known
         head = self.queue[0]
         if self.phase == "joint":
-            return documents.narrowest([known, head.document])
-        return head.document if name in head.first else known
+            return documents.most_restrictive([known, head.document])
+        return head.document if name in head.canaries else known
 
-    def gateways(self, share: float) -> int:
-        """How many instances of this share there would be: what the module is told."""
-        return max(int((1 - 2 * KEPT_PART) / share + 1 - 1e-9), *(place + 1 for place in self._places()), 1)
+    def gateway_count(self, share: float) -> int:
+        """The number of gateways that corresponds to this share, as the admission module expects it."""
+        return max(int((1 - 2 * RESERVED_PART) / share + 1 - 1e-9), *(i + 1 for i in self._used_indices()), 1)
 
-    def _places(self) -> set[int]:
-        """The indices that somebody may act on."""
+    def _used_indices(self) -> set[int]:
+        """The indices that members or lost instances may act on."""
         return {m.index for m in self.members.values()} | {h.index for h in self.held.values()}
 
-    def named(self, name: str) -> Member | None:
-        """The member of this name."""
+    def member_named(self, name: str) -> Member | None:
+        """The member with this name."""
         return next((m for m in self.members.values() if m.name == name), None)
 
-    # ---- what may follow
+    # ---- validation
 
     def check(self, body: Body) -> None:
-        """Refused where this entry may not be written now."""
+        """Raise InvalidEntry if this entry must not be written in the current state."""
         match body:
             case Proposed():
                 self._check_proposal(body)
-            case InForce(version) | JointBegan(version) | Begun(version) | Dropped(version):
+            case InForce(version) | JointPhaseStarted(version) | CanaryStarted(version) | Dropped(version):
                 if not self.queue or self.queue[0].version != version:
-                    raise Refused(f"version {version} is not the next in line")
+                    raise InvalidEntry(f"version {version} is not the next in line")
             case Joined(newcomers):
                 for newcomer in newcomers:
-                    if reason := self.hindrance(newcomer):
-                        raise Refused(reason)
-            case Settled(until):
-                if until < self.dirty:
-                    raise Refused("the roster changed meanwhile")
+                    if reason := self.join_error(newcomer):
+                        raise InvalidEntry(reason)
+            case RosterSettled(until):
+                if until < self.unsettled_number:
+                    raise InvalidEntry("the roster changed meanwhile")
 
     def _check_proposal(self, body: Proposed) -> None:
         try:
             documents.check(body.document)
             if (last := self.queue[-1].document if self.queue else self.document) is not None:
-                documents.check_after(last, body.document)
+                documents.check_change(last, body.document)
         except ValueError as error:
-            raise Refused(str(error)) from None
+            raise InvalidEntry(str(error)) from None
         if body.base != self.newest:
-            note = next((n for n in reversed(self.notes) if n.version == self.newest), None)
-            by = f" by {note.author} ({note.reason})" if note else ""
-            raise Refused(f"made from version {body.base}, but version {self.newest}{by} came meanwhile")
-        if len(self.queue) >= MOST_QUEUED:
-            raise Refused(f"{MOST_QUEUED} versions are on their way already")
+            record = next((r for r in reversed(self.history) if r.version == self.newest), None)
+            by = f" by {record.author} ({record.reason})" if record else ""
+            raise InvalidEntry(f"made from version {body.base}, but version {self.newest}{by} came meanwhile")
+        if len(self.queue) >= MAX_QUEUED:
+            raise InvalidEntry(f"{MAX_QUEUED} versions are on their way already")
         if len(self.members) + len(self.held) > body.document.terms.most_instances:
-            raise Refused(f"terms.most_instances: there are {len(self.members) + len(self.held)}")
-        if body.first and not documents.harmless(last or body.document, body.document):
-            raise Refused("only a version that contradicts nothing may go to a part of the instances first")
-
-    def hindrance(self, newcomer: Newcomer) -> str:
-        """Why it can't have a place; empty where it can."""
-        other = self.named(newcomer.name)
-        if other is not None and other.life not in (newcomer.life, newcomer.replaces):
+            raise InvalidEntry(f"terms.most_instances: there are {len(self.members) + len(self.held)}")
+        if body.canaries and not documents.compatible(last or body.document, body.document):
+            raise InvalidEntry(
+                "only a version that contradicts nothing may go to a part of the instances first"
+            )
+
+    def join_error(self, newcomer: Newcomer) -> str:
+        """Why this process can't have a place; empty if it can."""
+        other = self.member_named(newcomer.name)
+        if other is not None and other.incarnation not in (newcomer.incarnation, newcomer.replaces):
             return f"another process lives under the name {newcomer.name}"
-        places = len(self.members) + sum(life not in self.members for life in self.held)
+        places = len(self.members) + sum(incarnation not in self.members for incarnation in self.held)
         places -= sum(
-            life in self.members or life in self.held for life in {newcomer.replaces, newcomer.life}
+            incarnation in self.members or incarnation in self.held
+            for incarnation in {newcomer.replaces, newcomer.incarnation}
         )
         if places >= self.terms.most_instances:
             return f"terms.most_instances: {places} have places or are away with a share"
         return ""
 
-    # ---- what follows
+    # ---- transitions
 
     def apply(self, entry: Entry) -> None:
-        """Take in the next entry; ValueError where it does not follow."""
-        if entry.number != self.number + 1 or entry.past != self.chain:
-            raise ValueError(f"entry {entry.number} does not follow on {self.number}")
-        body = read(entry)
+        """Apply the next entry. Raises ValueError if it does not follow the last one."""
+        if entry.number != self.number + 1 or entry.previous_chain != self.chain:
+            raise ValueError(f"entry {entry.number} does not follow entry {self.number}")
+        body = decode_body(entry)
         self.number, self.chain = entry.number, entry.chain
         match body:
             case Proposed():
-                version = max([n.version for n in self.notes[-1:]], default=0) + 1
-                self.queue.append(Pending(version, body.document, body.first, body.forced))
-                self.notes = [
-                    *self.notes,
-                    Note(version, self.number, body.author, body.reason, body.at_ms, body.token),
-                ][-KEPT_NOTES:]
-            case JointBegan():
+                version = max([r.version for r in self.history[-1:]], default=0) + 1
+                self.queue.append(PendingVersion(version, body.document, body.canaries, body.forced))
+                self.history = [
+                    *self.history,
+                    VersionRecord(version, self.number, body.author, body.reason, body.at_ms, body.token),
+                ][-KEPT_HISTORY:]
+            case JointPhaseStarted():
                 self.phase, self.phase_number = "joint", self.number
-            case Begun():
+            case CanaryStarted():
                 self.phase, self.phase_number = "first", self.number
             case InForce(version, forced):
                 head = self.queue.pop(0)
                 self.version, self.documents[version] = version, head.document
                 self.phase, self.phase_number = "", 0
-                self._became(version, "in force, forced" if forced else "in force", self.number)
-                self._forget()
+                self._set_status(version, "in force, forced" if forced else "in force", self.number)
+                self._discard_old_documents()
             case Dropped(version, reasons):
                 for pending in self.queue:
                     why = reasons if pending.version == version else ("made from it",)
-                    self._became(pending.version, "dropped: " + "; ".join(why))
+                    self._set_status(pending.version, "dropped: " + "; ".join(why))
                 self.dropped = self.queue[0]
                 self.queue, self.phase, self.phase_number = [], "", 0
             case Joined(newcomers):
                 for newcomer in newcomers:
                     self._join(newcomer)
-            case Left(lives):
-                for life in lives:
-                    self.members.pop(life, None)
-                    self.held.pop(life, None)
-            case Lost(lives, versions):
-                for life, version in zip(lives, versions, strict=True):
-                    self._lose(life, version)
-            case Floored(lives):
-                for life in lives:
-                    if (held := self.held.get(life)) is not None:
+            case Left(incarnations):
+                for incarnation in incarnations:
+                    self.members.pop(incarnation, None)
+                    self.held.pop(incarnation, None)
+            case Lost(incarnations, versions):
+                for incarnation, version in zip(incarnations, versions, strict=True):
+                    self._mark_lost(incarnation, version)
+            case ShareReduced(incarnations):
+                for incarnation in incarnations:
+                    if (held := self.held.get(incarnation)) is not None:
                         held.index, held.share = -1, min(held.share, self.terms.least_share)
-            case Settled():
-                self._settle()
-        if isinstance(body, Joined | Left | Lost | Floored):
-            self.dirty = self.number
-            self.share = min(self.share, self._even())
+            case RosterSettled():
+                self._settle_roster()
+        if isinstance(body, Joined | Left | Lost | ShareReduced):
+            self.unsettled_number = self.number
+            self.share = min(self.share, self._equal_share())
 
-    def _became(self, version: int, what: str, since: int = 0) -> None:
-        for note in self.notes:
-            if note.version == version:
-                note.became, note.since = what, since
+    def _set_status(self, version: int, status: str, since: int = 0) -> None:
+        for record in self.history:
+            if record.version == version:
+                record.status, record.in_force_since = status, since
 
     def version_at(self, number: int) -> int:
-        """The version that was in force after this entry, or the oldest that is known."""
-        known = [note.version for note in self.notes if 0 < note.since <= number]
+        """The version that was in force after entry `number`, or the oldest one whose document is kept."""
+        known = [record.version for record in self.history if 0 < record.in_force_since <= number]
         return max(known[-1] if known else 0, min(self.documents, default=0))
 
-    def _forget(self) -> None:
-        """Keep the documents that somebody may act on, and the last ones for a person's questions."""
+    def _discard_old_documents(self) -> None:
+        """Keep the documents that some instance may act on, and the last few for operators to look at."""
         oldest = min([self.version, *(h.version for h in self.held.values())])
         for version in sorted(self.documents)[:-KEPT_DOCUMENTS]:
             if version < oldest:
                 del self.documents[version]
 
-    def _even(self) -> float:
-        """An equal part of what the lost ones do not hold."""
+    def _equal_share(self) -> float:
+        """An equal part, for each member, of what lost instances do not hold."""
         left = max(0.0, 1.0 - sum(held.share for held in self.held.values()))
-        return max(KEPT_PART, left) * (1 - KEPT_PART) / max(1, len(self.members))
+        return max(RESERVED_PART, left) * (1 - RESERVED_PART) / max(1, len(self.members))
 
     def _free_index(self) -> int:
-        used = self._places()
+        used = self._used_indices()
         return next(i for i in range(len(used) + 1) if i not in used)
 
     def _join(self, newcomer: Newcomer) -> None:
-        if newcomer.life in self.members:
+        if newcomer.incarnation in self.members:
             return
-        before = self.members.pop(newcomer.replaces, None) or self.held.get(newcomer.life)
+        before = self.members.pop(newcomer.replaces, None) or self.held.get(newcomer.incarnation)
         self.held.pop(newcomer.replaces, None)
         index = before.index if before is not None and before.index >= 0 else self._free_index()
-        self.members[newcomer.life] = Member(newcomer.name, newcomer.life, self.number, index, newcomer.zone)
-
-    def _lose(self, life: str, version: int) -> None:
-        gone = self.members.pop(life, None)
-        if gone is not None and gone.acting:
-            self.held[life] = Held(gone.name, life, self.number, gone.index, self.settled_share, version)
-
-    def _settle(self) -> None:
-        for life, member in self.members.items():
-            member.acting = True
-            self.held.pop(life, None)  # it was lost, came back, and has taken that up
-        self._close_ranks()
-        self.share = self.settled_share = self._even()
-        self.dirty = 0
-
-    def _close_ranks(self) -> None:
-        """Whoever stands highest takes a place that is free below, one move for each that left."""
+        self.members[newcomer.incarnation] = Member(
+            newcomer.name, newcomer.incarnation, self.number, index, newcomer.zone
+        )
+
+    def _mark_lost(self, incarnation: str, version: int) -> None:
+        gone = self.members.pop(incarnation, None)
+        if gone is not None and gone.active:
+            self.held[incarnation] = HeldShare(
+                gone.name, incarnation, self.number, gone.index, self.settled_share, version
+            )
+
+    def _settle_roster(self) -> None:
+        for incarnation, member in self.members.items():
+            member.active = True
+            self.held.pop(incarnation, None)  # it was lost, has returned, and has applied that
+        self._compact_indices()
+        self.share = self.settled_share = self._equal_share()
+        self.unsettled_number = 0
+
+    def _compact_indices(self) -> None:
+        """Move the members with the highest indices to the free indices below them."""
         for member in sorted(self.members.values(), key=lambda m: -m.index):
             if (free := self._free_index()) < member.index:
                 member.index = free
 
-    # ---- sums
+    # ---- limits while lost instances hold shares
 
-    def lowest_known(self, new: Document) -> float:
-        """To what part of what a lost instance may act on a version would lower a sum; 1: it lowers none."""
+    def lowest_ratio_for_held(self, new: Document) -> float:
+        """The lowest ratio of a new limit to one that a lost instance may act on; 1 if none is lowered."""
         return min(
             (
-                documents.lowered(self.documents[held.version], new)
+                documents.lowest_ratio(self.documents[held.version], new)
                 for held in self.held.values()
                 if held.version in self.documents
             ),
             default=1.0,
         )
 
-    def bearable(self, new: Document) -> bool:
-        """Whether the lost ones' shares stay within the whole under this version."""
-        lowest = self.lowest_known(new)
-        return lowest >= 1 or (lowest >= LEAST_PART and all(h.index < 0 for h in self.held.values()))
+    def safe_with_held_shares(self, new: Document) -> bool:
+        """Whether all shares together, those of lost instances included, stay within the limits of `new`."""
+        lowest = self.lowest_ratio_for_held(new)
+        return lowest >= 1 or (lowest >= LOWEST_RATIO and all(h.index < 0 for h in self.held.values()))
 
     def copy(self) -> State:
-        """Another one that goes its own way."""
+        """An independent copy; documents, which are immutable, are shared."""
         made = msgspec.structs.replace(self)
         made.documents, made.queue = dict(self.documents), list(self.queue)
-        made.members = {life: msgspec.structs.replace(m) for life, m in self.members.items()}
-        made.held = {life: msgspec.structs.replace(h) for life, h in self.held.items()}
-        made.notes = [msgspec.structs.replace(n) for n in self.notes]
+        made.members = {key: msgspec.structs.replace(m) for key, m in self.members.items()}
+        made.held = {key: msgspec.structs.replace(h) for key, h in self.held.items()}
+        made.history = [msgspec.structs.replace(r) for r in self.history]
         return made
 
 
 def encode(state: State) -> bytes:
-    """The state as bytes."""
+    """Encode a state as a snapshot."""
     return msgspec.msgpack.encode(state)
 
 
 def decode(data: bytes) -> State:
-    """A state; ValueError where the bytes hold none."""
+    """Decode a snapshot. Raises ValueError if the bytes hold none."""
     try:
         return msgspec.msgpack.decode(data, type=State)
     except msgspec.MsgspecError as error:
@@ -345,7 +358,7 @@
 
 
 def summary(state: State) -> dict[str, Any]:
-    """The figures that go into the log."""
+    """Key figures for log lines."""
     return {
         "number": state.number,
         "version": state.version,
--- a/tamarindfold/cli/settings.py
+++ b/tamarindfold/cli/settings.py
@@ -35,34 +35,34 @@
 
 
 def _operator(context: click.Context) -> Any:
-    from tamarindfold.agreement.operator import Operator
+    from tamarindfold.agreement.operator_client import OperatorClient
     from tamarindfold.identity.files import signing_key
 
     keepers, key = context.obj
     if not keepers or key is None:
         raise ConfigError("settings: --keepers and --key are needed (or TAMARINDFOLD_KEEPERS and _KEY)")
     try:
-        return Operator([split_address(k, "--keepers") for k in keepers.split(",")], signing_key(key))
+        return OperatorClient([split_address(k, "--keepers") for k in keepers.split(",")], signing_key(key))
     except (OSError, ValueError) as error:
         raise ConfigError(f"settings: {error}") from error
 
 
 def _look(operator: Any) -> Any:
-    from tamarindfold.agreement.operator import NoAnswer
+    from tamarindfold.agreement.operator_client import NoAnswer
     from tamarindfold.agreement.state import decode
 
     try:
-        look = operator.look()
+        look = operator.status()
     except NoAnswer as error:
         raise ConfigError(f"settings: {error}") from error
     return look, decode(look.state)
 
 
 def _tell(operator: Any, what: Any) -> Any:
-    from tamarindfold.agreement.operator import NoAnswer
+    from tamarindfold.agreement.operator_client import NoAnswer
 
     try:
-        return operator.tell(what, WAIT_S)
+        return operator.send(what, WAIT_S)
     except NoAnswer as error:
         click.echo(f"unknown: {error}", err=True)
         sys.exit(3)
@@ -127,7 +127,7 @@
     operator = _operator(context)
     if base is None:
         base = _look(operator)[1].newest
-    told = _tell(operator, wire.Propose(document, base, author, reason, uuid.uuid4().hex, first))
+    told = _tell(operator, wire.Proposal(document, base, author, reason, uuid.uuid4().hex, first))
     if not told.version:
         click.echo(f"refused: {file}: {told.reason}", err=True)
         sys.exit(1)
@@ -140,10 +140,10 @@
     until, said = time.monotonic() + seconds, ""
     while time.monotonic() < until:
         look, state = _look(operator)
-        note = next((n for n in state.notes if n.version == version), None)
-        if note is not None and note.became != "pending":
-            click.echo(f"version {version} {note.became}")
-            return 0 if note.became.startswith("in force") else 1
+        note = next((n for n in state.history if n.version == version), None)
+        if note is not None and note.status != "pending":
+            click.echo(f"version {version} {note.status}")
+            return 0 if note.status.startswith("in force") else 1
         if look.waits_for and look.waits_for != said:
             said = look.waits_for
             click.echo(f"  {said}")
@@ -181,10 +181,10 @@
 def history(context: click.Context) -> None:
     """All versions: number, log entry, when, who, why, what became of it."""
     _, state = _look(_operator(context))
-    for note in state.notes:
+    for note in state.history:
         at = datetime.fromtimestamp(note.at_ms / 1000, UTC).isoformat(timespec="seconds")
         click.echo(
-            f"{note.version:5}  entry {note.number:<6} {at}  {note.author}: {note.reason}  [{note.became}]"
+            f"{note.version:5}  entry {note.number:<6} {at}  {note.author}: {note.reason}  [{note.status}]"
         )
     click.echo(f"chain {state.chain.hex()} at entry {state.number}")
 
@@ -194,23 +194,27 @@
 def who(context: click.Context) -> None:
     """Each instance with its place, what it has taken up, its lease, and when it was last heard."""
     look, state = _look(_operator(context))
-    reports = {report.life: report for report in look.reports}
+    reports = {report.incarnation: report for report in look.reports}
     click.echo(
         f"version {state.version} in force, entry {state.number}, leader keeper {look.leader}, "
         f"a share is {state.share:.4f} of each sum"
     )
     for member in sorted(state.members.values(), key=lambda m: m.index):
-        report = reports.get(member.life)
+        report = reports.get(member.incarnation)
         heard = (
-            f"knows entry {report.number}, led for {report.led_ms:.0f} ms more, heard "
+            f"knows entry {report.number}, led for {report.lease_remaining_ms:.0f} ms more, heard "
             f"{report.age_ms:.0f} ms ago"
             if report is not None
             else "not heard by this keeper"
         )
-        cannot = f", cannot apply {report.ready}: {report.cannot}" if report and report.cannot else ""
+        cannot = (
+            f", cannot apply {report.ready_version}: {report.apply_error}"
+            if report and report.apply_error
+            else ""
+        )
         click.echo(
             f"  {member.index:3}  {member.name}  place {member.number}"
-            f"{'' if member.acting else ' (not settled)'}: {heard}{cannot}"
+            f"{'' if member.active else ' (not settled)'}: {heard}{cannot}"
         )
     for held in sorted(state.held.values(), key=lambda h: h.name):
         click.echo(f"    -  {held.name}  away since entry {held.number}, may act on {held.share:.4f}")
@@ -221,7 +225,7 @@
 def _command(context: click.Context, what: str, done: str, version: int = 0, name: str = "") -> None:
     from tamarindfold.agreement import wire
 
-    told = _tell(_operator(context), wire.Command(what, version, name, getpass.getuser()))
+    told = _tell(_operator(context), wire.OperatorCommand(what, version, name, getpass.getuser()))
     if not told.version:
         click.echo(f"refused: {told.reason}", err=True)
         sys.exit(1)
--- a/tamarindfold/ingress/managed.py
+++ b/tamarindfold/ingress/managed.py
@@ -11,9 +11,9 @@
 import gevent
 from msgspec.structs import replace
 
-from tamarindfold.agreement.document import Document, cautious, merged, narrowest
-from tamarindfold.agreement.driver import Agreement, Taken
-from tamarindfold.agreement.lease import Acting
+from tamarindfold.agreement.document import Document, forbid_repeats, merged, most_restrictive
+from tamarindfold.agreement.driver import AgreementClient, FolderInUse
+from tamarindfold.agreement.lease import EffectiveSettings
 from tamarindfold.config.addresses import split_address
 from tamarindfold.config.model import GatewayConfig, InstanceConfig
 from tamarindfold.identity.files import public_key
@@ -39,11 +39,11 @@
         self.local = replace(local, instance=replace(local.instance, state_dir=folder))
         self.log = log
         self.ingress: Ingress | None = None
-        self.applied: Acting | None = None
+        self.applied: EffectiveSettings | None = None
         self.last_valid: Document | None = None  # the latest document that could be applied here
         keepers = [split_address(keeper, f"keepers[{i}]") for i, keeper in enumerate(section.keepers)]
         try:
-            self.agreement = Agreement(
+            self.agreement = AgreementClient(
                 section.name,
                 keepers,
                 public_key(Path(section.public_key)),
@@ -53,7 +53,7 @@
                 log,
                 local.instance.zone,
             )
-        except Taken as error:
+        except FolderInUse as error:
             raise NoAgreedSettings(str(error)) from None
 
     def create(self) -> Ingress:
@@ -62,9 +62,9 @@
         with gevent.Timeout(self.local.agreement.join_ms / 1000, False):
             while not self._has_lease():
                 gevent.sleep(LEASE_POLL_INTERVAL_S)
-        acting = self.agreement.acting()
+        acting = self.agreement.effective_settings()
         if acting is None or not acting.share:
-            reason = self.agreement.hindrance or (
+            reason = self.agreement.join_error or (
                 "no keeper answered, and there is no copy on disk"
                 if acting is None
                 else f"no place in the roster: {acting.why}"
@@ -86,8 +86,8 @@
     def _has_lease(self) -> bool:
         """Whether there is a lease. Without reachable keepers `create` waits until its time-out, so that it
         uses the copy on disk only when no keeper answers."""
-        acting = self.agreement.acting()
-        return acting is not None and acting.led
+        acting = self.agreement.effective_settings()
+        return acting is not None and acting.has_lease
 
     def leave(self) -> None:
         """Leave the roster; the ingress must have stopped."""
@@ -96,29 +96,29 @@
     def _obstacle(self) -> str:
         return "" if self.applied is not None and self.applied.share else "no place in the roster"
 
-    def _config(self, acting: Acting) -> GatewayConfig:
+    def _config(self, acting: EffectiveSettings) -> GatewayConfig:
         return merged(self.local, acting.document, acting.gateways, acting.index)
 
     def on_change(self) -> None:
         """Apply what is to be acted on now; called on each update and whenever a lease may have ended."""
         self._check_next_version()
-        acting = self.agreement.acting()
+        acting = self.agreement.effective_settings()
         if acting is not None and self.ingress is not None:
             self._apply(acting)
 
     def _check_next_version(self) -> None:
         """Check whether the next version can be applied here, and report the result."""
         queue = self.agreement.lease.state.queue
-        if queue and queue[0].version != self.agreement.lease.ready:
+        if queue and queue[0].version != self.agreement.lease.ready_version:
             error = self._validation_error(queue[0].document)
             if error:
                 self.log("agreement.cannot_apply", version=queue[0].version, reason=error)
-            self.agreement.could(queue[0].version, error)
+            self.agreement.report_applicability(queue[0].version, error)
 
     def _validation_error(self, document: Document) -> str:
         current = self.agreement.lease.state.document
         # during the change the narrower settings of both versions apply, so they must be valid too
-        steps = [document] if current is None else [document, narrowest([current, document])]
+        steps = [document] if current is None else [document, most_restrictive([current, document])]
         try:
             for step in steps:
                 Admission(merged(self.local, step, 1, 0))
@@ -126,15 +126,15 @@
             return str(error)
         return ""
 
-    def _apply(self, acting: Acting, newcomer: bool = False) -> None:
+    def _apply(self, acting: EffectiveSettings, newcomer: bool = False) -> None:
         assert self.ingress is not None
         core = self.ingress.core
-        core.lease_until_ms = self.agreement.led_until_ms if acting.led else None
+        core.lease_until_ms = self.agreement.lease_until_ms if acting.has_lease else None
         before = self.applied
         if acting == before:
             return
         self.applied = acting
-        has_lease = acting.led
+        has_lease = acting.has_lease
         try:
             config = self._config(acting)
             self.last_valid = acting.document
@@ -144,18 +144,18 @@
             self.log("agreement.cannot_apply", version=acting.version, reason=str(error))
             assert self.last_valid is not None
             has_lease = False
-            config = merged(self.local, cautious(self.last_valid), acting.gateways, acting.index)
+            config = merged(self.local, forbid_repeats(self.last_valid), acting.gateways, acting.index)
         self.ingress.apply(config, has_lease, newcomer)
-        if before is None or (before.version, before.led, before.gateways, before.index) != (
+        if before is None or (before.version, before.has_lease, before.gateways, before.index) != (
             acting.version,
-            acting.led,
+            acting.has_lease,
             acting.gateways,
             acting.index,
         ):
             self.log(
                 "agreement.acting",
                 version=acting.version,
-                led=acting.led,
+                led=acting.has_lease,
                 gateways=acting.gateways,
                 index=acting.index,
                 number=acting.number,
@@ -168,6 +168,6 @@
         return self.agreement.counts | {
             "version": lease.state.version,
             "number": lease.state.number,
-            "led": lease.led,
+            "led": lease.has_lease,
             "share": round(lease.share, 6),
         }
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -251,7 +251,7 @@
             self.core.send_count = self.counter.call
 
     def apply(self, config: GatewayConfig, has_lease: bool, newcomer: bool = False) -> None:
-        """Switch to another configuration, within the differences that agreement.document.check_after allows.
+        """Switch to another configuration; agreement.document.check_change limits what may differ.
 
         has_lease: it is known to be in force. newcomer: this instance's share of every quota is new.
         """
--- a/tamarindfold/keeper/disk.py
+++ b/tamarindfold/keeper/disk.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tamarindfold.agreement.consensus import Disk, Save
+from tamarindfold.agreement.consensus import DurableState, Save
 from tamarindfold.agreement.log import Entry
 from tamarindfold.agreement.state import State, decode, encode
 from tamarindfold.ds.durable import frame, frames, replace
@@ -31,10 +31,10 @@
         self.size = 0
         self.saves = self.replaced = 0
 
-    def load(self) -> tuple[Disk, int]:
+    def load(self) -> tuple[DurableState, int]:
         """What is there, and how many bytes at its end are no whole frame; those are cut off."""
         data = self.path.read_bytes() if self.path.exists() else b""
-        disk, good = Disk(entries=[]), 0
+        disk, good = DurableState(entries=[]), 0
         state: State | None = None
         entries: list[Entry] = []
         for offset, body in frames(data):
--- a/tamarindfold/keeper/server.py
+++ b/tamarindfold/keeper/server.py
@@ -18,22 +18,22 @@
 from tamarindfold.agreement import wire
 from tamarindfold.agreement.consensus import (
     Action,
-    Beat,
-    Chose,
-    Fill,
-    Here,
+    Heartbeat,
+    EntriesChosen,
+    CatchUp,
+    HeartbeatReply,
     Keeper,
     Outcome,
-    Said,
+    KeeperMessage,
     Save,
     Send,
 )
 from tamarindfold.agreement.document import Document, check
-from tamarindfold.agreement.lease import Renew, Renewed
+from tamarindfold.agreement.lease import RenewRequest, RenewReply
 from tamarindfold.agreement.log import Body, Dropped, Left, Newcomer, Proposed
 from tamarindfold.agreement.reports import Report, Reports
-from tamarindfold.agreement.state import Pending, encode, summary
-from tamarindfold.agreement.steward import Steward
+from tamarindfold.agreement.state import PendingVersion, encode, summary
+from tamarindfold.agreement.reconciler import Reconciler
 from tamarindfold.config.addresses import split_address
 from tamarindfold.config.load import load
 from tamarindfold.ds.backoff import Backoff
@@ -66,7 +66,7 @@
 
     def __init__(self, keeper: KeeperServer, number: int, address: str) -> None:
         self.keeper, self.number = keeper, number
-        self.queue: deque[Said] = deque(maxlen=keeper.config.most_queued)
+        self.queue: deque[KeeperMessage] = deque(maxlen=keeper.config.most_queued)
         self.more = Event()
         self.link = Link(
             split_address(address, f"keepers[{number}]"),
@@ -76,11 +76,11 @@
         )
         self.dropped = self.lost = 0
 
-    def say(self, what: Said) -> None:
+    def say(self, what: KeeperMessage) -> None:
         """Send it with the next batch."""
         if len(self.queue) == self.queue.maxlen:
             self.dropped += 1
-        if isinstance(what, Beat | Here):  # an older one says nothing that this does not
+        if isinstance(what, Heartbeat | HeartbeatReply):  # an older one says nothing that this does not
             for i, waiting in enumerate(self.queue):
                 if type(waiting) is type(what):
                     del self.queue[i]
@@ -88,9 +88,13 @@
         self.queue.append(what)
         self.more.set()
 
-    def _with_news(self, what: Said) -> Said:
+    def _with_news(self, what: KeeperMessage) -> KeeperMessage:
         """What instances said goes with the answer to a beat as it leaves: none is replaced unsent."""
-        return replace(what, news=self.keeper.reports.news(now_ms())) if isinstance(what, Here) else what
+        return (
+            replace(what, reports=self.keeper.reports.take_unsent(now_ms()))
+            if isinstance(what, HeartbeatReply)
+            else what
+        )
 
     def run(self) -> None:
         """For ever."""
@@ -112,7 +116,7 @@
                 continue
             said = tuple(map(self._with_news, self.queue))
             self.queue.clear()
-            body = wire.pack(wire.Batch(self.keeper.core.me, said), self.keeper.key, "keeper")
+            body = wire.pack(wire.MessageBatch(self.keeper.core.me, said), self.keeper.key, "keeper")
             status, _ = send_request(sock, reader, "POST", "/v1/keeper", host, body)
             if status != 204:
                 raise ValueError(f"keeper {self.number} answered {status}")
@@ -131,7 +135,7 @@
         self.disk = LogFile(Path(config.state_dir), config.log_bytes)
         self.core = self._begin(trusted)
         self.reports = Reports()
-        self.steward = Steward(self.reports)
+        self.steward = Reconciler(self.reports)
         self.changed = Event()
         self.tickets: dict[int, AsyncResult] = {}
         self.ticket = 0
@@ -201,7 +205,7 @@
                         self.links[to].say(what)
                     case Outcome():
                         self._settle(action)
-                    case Chose():
+                    case EntriesChosen():
                         self.log("keeper.chose", **summary(self.core.state))
                         self.changed.set()
                         self.changed.clear()
@@ -247,7 +251,7 @@
             if now - last > STILL_MS:
                 self.counts["stalls"] += 1
                 self.log("keeper.stood_still", for_ms=round(now - last))
-                self.steward.lead(now)
+                self.steward.reset_waits(now)
             last = now
             self._do(self.core.tick(now))
             self._steer(now)
@@ -258,19 +262,19 @@
             self.led = self.core.leads
             if self.led:
                 self.counts["elected"] += 1
-                self.steward.lead(now)
+                self.steward.reset_waits(now)
                 self.stewards_ticket = 0
                 self.log("keeper.leads", ballot=self.core.ballot[0], number=self.core.number)
         if self.led and not self.stewards_ticket and self.core.proposal is None:
-            due = self.steward.next(now, self.core.state) or self._first()
+            due = self.steward.next_entry(now, self.core.state) or self._first()
             if due is not None:
                 self.ticket += 1
                 self.stewards_ticket = self.ticket
-                self._do(self.core.offer(now, self.ticket, due))
+                self._do(self.core.submit(now, self.ticket, due))
 
     def _first(self) -> Body | None:
         """The first settings of all, where the file names some and no version was ever proposed."""
-        if self.first is None or self.core.state.notes:
+        if self.first is None or self.core.state.history:
             return None
         return Proposed(
             self.first,
@@ -285,7 +289,7 @@
         self.ticket += 1
         ticket, waiting = self.ticket, AsyncResult()
         self.tickets[ticket] = waiting
-        self._do(self.core.offer(now_ms(), ticket, body))
+        self._do(self.core.submit(now_ms(), ticket, body))
         outcome = waiting.wait(self.config.offer_ms / 1000)
         self.tickets.pop(ticket, None)
         return outcome if outcome is not None else Outcome(ticket, 0, "no majority in time", True)
@@ -294,13 +298,13 @@
         while True:
             gevent.sleep(TELL_EVERY_S)
             state = self.core.state
-            self.reports.forget(now_ms(), state.members.keys() | state.held.keys())
+            self.reports.expire(now_ms(), state.members.keys() | state.held.keys())
             self.log(
                 "keeper.counts",
                 **self.counts,
                 **summary(self.core.state),
                 leads=self.core.leads,
-                proven=self.core.proven,
+                proven=self.core.recovered,
                 log_bytes=self.disk.size,
                 saves=self.disk.saves,
                 reports=len(self.reports.known),
@@ -335,19 +339,19 @@
             return 400, str(error).encode()
 
     def _heard(self, body: bytes) -> tuple[int, bytes]:
-        batch = wire.unpack(body, wire.Batch, self.public, "keeper")
+        batch = wire.unpack(body, wire.MessageBatch, self.public, "keeper")
         if batch.sender not in self.links:
             raise ValueError(f"there is no other keeper {batch.sender}")
         now = now_ms()
-        for said in batch.said:
-            if isinstance(said, Here):
-                self.reports.hand_over(now, said.news)
-            self._do(self.core.hear(now, batch.sender, said))
+        for said in batch.messages:
+            if isinstance(said, HeartbeatReply):
+                self.reports.merge(now, said.reports)
+            self._do(self.core.receive(now, batch.sender, said))
         return 204, b""
 
     def _renew(self, body: bytes) -> tuple[int, bytes]:
-        asked = wire.plain(body, Renew)
-        if not self.core.proven:
+        asked = wire.unpack_unsigned(body, RenewRequest)
+        if not self.core.recovered:
             return 503, b"this keeper has just started"
         self.counts["renewals"] += 1
         self._take_report(asked)
@@ -356,56 +360,56 @@
             asked.number == self.core.number
             and asked.wait_ms > 0
             and self.core.certain
-            and asked.wants == "stay"
+            and asked.intent == "stay"
         ):
             self.changed.wait(min(asked.wait_ms, self.config.most_wait_ms) / 1000)
-        if self.broken or not self.core.proven:
+        if self.broken or not self.core.recovered:
             return 503, b"this keeper has just started"
         return 200, wire.pack(self._renewed(asked), self.key, "renewed")
 
-    def _take_report(self, asked: Renew) -> None:
-        if asked.life:
-            self.reports.take(
+    def _take_report(self, asked: RenewRequest) -> None:
+        if asked.incarnation:
+            self.reports.record(
                 now_ms(),
                 Report(
-                    asked.life,
+                    asked.incarnation,
                     asked.name,
                     asked.number,
-                    asked.ready,
-                    asked.cannot,
-                    asked.wants,
+                    asked.ready_version,
+                    asked.apply_error,
+                    asked.intent,
                     asked.replaces,
                     asked.zone,
-                    asked.led_ms,
+                    asked.lease_remaining_ms,
                 ),
             )
 
-    def _renewed(self, asked: Renew) -> Renewed:
+    def _renewed(self, asked: RenewRequest) -> RenewReply:
         core, state = self.core, self.core.state
         other = self._other_past(asked)
-        member = asked.life in state.members
+        member = asked.incarnation in state.members
         hindrance = (
             ""
-            if member or not asked.life
-            else state.hindrance(Newcomer(asked.name, asked.life, asked.replaces, asked.zone))
+            if member or not asked.incarnation
+            else state.join_error(Newcomer(asked.name, asked.incarnation, asked.replaces, asked.zone))
         )
-        news = Fill(()) if other or asked.number >= core.number else core.since(asked.number)
-        return Renewed(asked.sent, core.number, core.certain and not other, member, other, hindrance, news)
+        news = CatchUp(()) if other or asked.number >= core.number else core.catch_up_since(asked.number)
+        return RenewReply(asked.sent, core.number, core.certain and not other, member, other, hindrance, news)
 
-    def _other_past(self, asked: Renew) -> bool:
+    def _other_past(self, asked: RenewRequest) -> bool:
         """Whether the asker holds what this log does not, as far as this keeper can tell."""
         core = self.core
         if asked.number == core.number:
             return asked.chain != core.state.chain
-        if core.first < asked.number < core.number:
-            return asked.chain != core.entries[asked.number - core.first].past
+        if core.snapshot_number < asked.number < core.number:
+            return asked.chain != core.entries[asked.number - core.snapshot_number].previous_chain
         return False
 
     def _told(self, version: int, reason: str = "", again: bool = False) -> tuple[int, bytes]:
-        return 200, wire.pack(wire.Told(version, reason, self.core.leader, again), self.key, "told")
+        return 200, wire.pack(wire.OperatorReply(version, reason, self.core.leader, again), self.key, "told")
 
     def _propose(self, body: bytes) -> tuple[int, bytes]:
-        asked = wire.unpack(body, wire.Propose, self.public, "propose")
+        asked = wire.unpack(body, wire.Proposal, self.public, "propose")
         self.counts["proposals"] += 1
         if version := self._version_of(asked.token):
             return self._told(version)
@@ -417,48 +421,48 @@
                 asked.reason,
                 asked.token,
                 time.time() * 1000,
-                asked.first,
+                asked.canaries,
             )
         )
         # its first sending may have come through meanwhile, and then refused this one
         if version := self._version_of(asked.token):
             return self._told(version)
         self.counts["refused"] += 1
-        return self._told(0, outcome.reason, outcome.lost)
+        return self._told(0, outcome.reason, outcome.unknown)
 
     def _version_of(self, token: str) -> int:
-        return next((n.version for n in reversed(self.core.state.notes) if n.token == token), 0)
+        return next((n.version for n in reversed(self.core.state.history) if n.token == token), 0)
 
     def _command(self, body: bytes) -> tuple[int, bytes]:
-        asked = wire.unpack(body, wire.Command, self.public, "command")
+        asked = wire.unpack(body, wire.OperatorCommand, self.public, "command")
         state = self.core.state
         if not self.core.leads:
             return self._told(0, "not the leader", True)
-        self.log("keeper.command", what=asked.what, version=asked.version, name=asked.name, by=asked.author)
-        if asked.what == "force" and state.dropped is not None and state.dropped.version == asked.version:
+        self.log("keeper.command", what=asked.action, version=asked.version, name=asked.name, by=asked.author)
+        if asked.action == "force" and state.dropped is not None and state.dropped.version == asked.version:
             return self._force_dropped(asked, state.dropped)
-        if asked.what in ("force", "widen", "drop"):
+        if asked.action in ("force", "widen", "drop"):
             if not state.queue or state.queue[0].version != asked.version:
                 return self._told(0, f"version {asked.version} is not the next in line")
-            if asked.what == "drop":
+            if asked.action == "drop":
                 if state.phase:
                     return self._told(0, "some act on it already: propose the old settings anew")
                 return self._wrote(
                     self._offer(Dropped(asked.version, (f"taken back by {asked.author}",))), asked.version
                 )
-            (self.steward.forced if asked.what == "force" else self.steward.widened).add(asked.version)
+            (self.steward.forced if asked.action == "force" else self.steward.widened).add(asked.version)
             return self._told(asked.version)
-        if asked.what == "retire":
+        if asked.action == "retire":
             lives = tuple(life for life, h in state.held.items() if h.name == asked.name)
             if not lives:
                 return self._told(0, f"no instance {asked.name} is away with a share")
             return self._wrote(self._offer(Left(lives)), state.version)
-        raise ValueError(f"no command {asked.what!r}")
+        raise ValueError(f"no command {asked.action!r}")
 
     def _wrote(self, outcome: Outcome, version: int) -> tuple[int, bytes]:
-        return self._told(version if outcome.number else 0, outcome.reason, outcome.lost)
+        return self._told(version if outcome.number else 0, outcome.reason, outcome.unknown)
 
-    def _force_dropped(self, asked: wire.Command, dropped: Pending) -> tuple[int, bytes]:
+    def _force_dropped(self, asked: wire.OperatorCommand, dropped: PendingVersion) -> tuple[int, bytes]:
         """What instances refused is put in force as a version of its own, once."""
         token = f"force {asked.version}"
         if not self._version_of(token):
@@ -479,11 +483,11 @@
 
     def _look(self, body: bytes) -> tuple[int, bytes]:
         now, core = now_ms(), self.core
-        reports = self.reports.aged(now, self.reports.known)
-        look = wire.Look(
+        reports = self.reports.with_ages(now, self.reports.known)
+        look = wire.KeeperStatus(
             core.me,
             core.leader,
-            core.proven,
+            core.recovered,
             core.certain,
             encode(core.state),
             tuple(reports),
--- a/tamarindfold/modelcheck/keepers.py
+++ b/tamarindfold/modelcheck/keepers.py
@@ -12,10 +12,20 @@
 
 import msgspec
 
-from tamarindfold.agreement.consensus import Action, Chose, Disk, Keeper, Outcome, Said, Save, Send, Vote
+from tamarindfold.agreement.consensus import (
+    Action,
+    EntriesChosen,
+    DurableState,
+    Keeper,
+    Outcome,
+    KeeperMessage,
+    Save,
+    Send,
+    Vote,
+)
 from tamarindfold.agreement.log import Body, Entry, Left
 
-Message = tuple[int, int, Said]  # from, to, what
+Message = tuple[int, int, KeeperMessage]  # from, to, what
 
 
 class Bounds(msgspec.Struct, frozen=True):
@@ -49,9 +59,9 @@
     """Another keeper that goes its own way; entries and messages are never changed."""
     made = copy(keeper)
     made.state = keeper.state.copy()
-    made.entries, made.offers = deque(keeper.entries), deque(keeper.offers)
-    made.words, made.promises = dict(keeper.words), dict(keeper.promises)
-    made.takers, made.heard = set(keeper.takers), dict(keeper.heard)
+    made.entries, made.submissions = deque(keeper.entries), deque(keeper.submissions)
+    made.state_replies, made.promises = dict(keeper.state_replies), dict(keeper.promises)
+    made.acceptors, made.last_reply_at = set(keeper.acceptors), dict(keeper.last_reply_at)
     return made
 
 
@@ -78,7 +88,9 @@
     @classmethod
     def begin(cls, bounds: Bounds) -> KeeperWorld:
         """Keepers that have started and know that all disks are empty."""
-        keepers = [cls.make(me, bounds.keepers, Disk(), me, 0.0, True) for me in range(bounds.keepers)]
+        keepers = [
+            cls.make(me, bounds.keepers, DurableState(), me, 0.0, True) for me in range(bounds.keepers)
+        ]
         return cls(bounds, keepers, [Stored() for _ in keepers], frozenset(), (), "", bounds)
 
     # ---- moves
@@ -88,7 +100,7 @@
         left = self.left
         for keeper in self.keepers:
             me = keeper.me
-            if not keeper.proven:
+            if not keeper.recovered:
                 out.append(f"ask {me}")
             # alike but for their numbers: the first to stand is the first keeper
             elif keeper.role != "leader" and left.stands and (left.stands < self.bounds.stands or me == 0):
@@ -120,30 +132,30 @@
                 left = msgspec.structs.replace(left, repeats=left.repeats - 1)
             else:
                 net = net - {message}
-            keeper.leader_at = -1e9  # loyalty to a leader would only leave orders out
-            actions = keeper.hear(0.0, sender, said)
+            keeper.leader_heard_at = -1e9  # loyalty to a leader would only leave orders out
+            actions = keeper.receive(0.0, sender, said)
         else:
             me = int(text)
             keeper = clone(self.keepers[me])
             if what == "stand":
                 left = msgspec.structs.replace(left, stands=left.stands - 1)
-                keeper.due = 0.0
+                keeper.election_due = 0.0
                 if keeper.role != "follower":
                     keeper._step_down(0.0)
-                    keeper.due = 0.0
+                    keeper.election_due = 0.0
                 actions = keeper.tick(0.0)
             elif what == "beat":
                 left = msgspec.structs.replace(left, beats=left.beats - 1)
-                keeper.next_at, keeper.heard = 0.0, dict.fromkeys(keeper.others, 0.0)
+                keeper.next_send_at, keeper.last_reply_at = 0.0, dict.fromkeys(keeper.others, 0.0)
                 actions = keeper.tick(0.0)
             elif what == "ask":
-                keeper.next_at = 0.0
+                keeper.next_send_at = 0.0
                 actions = keeper.tick(0.0)
             elif what == "offer":
                 turn = self.bounds.offers - left.offers
                 left = msgspec.structs.replace(left, offers=left.offers - 1)
                 body: Body = Left((f"{me}-{turn}",))
-                actions = keeper.offer(0.0, turn + 1, body)
+                actions = keeper.submit(0.0, turn + 1, body)
             else:
                 wiped = what == "wipe"
                 left = (
@@ -157,7 +169,7 @@
                 keeper = self.make(
                     me,
                     self.bounds.keepers,
-                    Disk(found.promised, found.vote, None, list(found.entries)),
+                    DurableState(found.promised, found.vote, None, list(found.entries)),
                     100 * life + me,
                     0.0,
                     self.disk_is_trusted,
@@ -186,7 +198,7 @@
                 return net | {(me, to, what)}, disk
             case Save(promised, vote, chosen, _):  # so small a world needs no whole state
                 return net, Stored(promised, vote, disk.entries + chosen)
-            case Outcome() | Chose():
+            case Outcome() | EntriesChosen():
                 return net, disk
 
     # ---- what must hold
@@ -211,11 +223,11 @@
         keeper.promised,
         keeper.vote,
         keeper.state.chain,
-        keeper.proven,
+        keeper.recovered,
         keeper.role,
         keeper.ballot,
         frozenset(keeper.promises.items()) if keeper.role == "candidate" else None,
-        frozenset(keeper.takers) if keeper.proposal else None,
+        frozenset(keeper.acceptors) if keeper.proposal else None,
         keeper.proposal,
-        frozenset(keeper.words.items()) if not keeper.proven else None,
+        frozenset(keeper.state_replies.items()) if not keeper.recovered else None,
     )
--- a/tamarindfold/modelcheck/leases.py
+++ b/tamarindfold/modelcheck/leases.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from tamarindfold.agreement.consensus import Action, Disk, Here, Keeper, Send
-from tamarindfold.agreement.document import LEAST_PART, Document
-from tamarindfold.agreement.lease import Acting, Lease, Renew, Renewed
+from tamarindfold.agreement.consensus import Action, DurableState, HeartbeatReply, Keeper, Send
+from tamarindfold.agreement.document import LOWEST_RATIO, Document
+from tamarindfold.agreement.lease import EffectiveSettings, Lease, RenewRequest, RenewReply
 from tamarindfold.agreement.log import Newcomer, Proposed
 from tamarindfold.agreement.reports import Report, Reports
-from tamarindfold.agreement.steward import Steward
+from tamarindfold.agreement.reconciler import Reconciler
 from tamarindfold.modelcheck.keepers import clone
 
 STEP_MS = 250.0
@@ -80,15 +80,15 @@
 
     def __init__(self, lease: Lease, rate: float) -> None:
         self.lease, self.rate = lease, rate
-        self.asked: dict[int, Renew] = {}
-        self.answers: dict[int, Renewed] = {}
-        self.acting: Acting | None = None
+        self.asked: dict[int, RenewRequest] = {}
+        self.answers: dict[int, RenewReply] = {}
+        self.acting: EffectiveSettings | None = None
         self.stopped = self.cut = False
 
     def copy(self) -> _Instance:
         made = copy(self)
         made.lease = copy(self.lease)
-        made.lease.fresh = dict(self.lease.fresh)
+        made.lease.confirmed_at = dict(self.lease.confirmed_at)
         made.asked, made.answers = dict(self.asked), dict(self.answers)
         return made
 
@@ -101,9 +101,9 @@
     def __init__(self, bounds: Bounds, before: Sequence[str] = ()) -> None:
         """before: moves that are made before the exploration begins."""
         self.bounds, self.now = bounds, 0.0
-        self.keepers = [Keeper(me, 3, Disk(), me, 0.0, True) for me in range(3)]
+        self.keepers = [Keeper(me, 3, DurableState(), me, 0.0, True) for me in range(3)]
         self.reports = [Reports() for _ in range(3)]
-        self.stewards = [Steward(reports) for reports in self.reports]
+        self.stewards = [Reconciler(reports) for reports in self.reports]
         self.leader = 0
         self.instances: list[_Instance] = []
         self.left = bounds
@@ -168,10 +168,10 @@
         made.reports, made.stewards = [], []
         for reports, steward in zip(self.reports, self.stewards, strict=True):
             other = copy(reports)
-            other.known, other.fresh = dict(reports.known), dict(reports.fresh)
+            other.known, other.unsent = dict(reports.known), dict(reports.unsent)
             made.reports.append(other)
             again = copy(steward)
-            again.reports, again.known_at = other, dict(steward.known_at)
+            again.reports, again.loss_known_at = other, dict(steward.loss_known_at)
             made.stewards.append(again)
         made.instances = [instance.copy() for instance in self.instances]
         made.first_acted = dict(self.first_acted)
@@ -190,9 +190,9 @@
                 (
                     i.stopped,
                     i.cut,
-                    i.lease.life,
+                    i.lease.incarnation,
                     i.lease.state.number,
-                    tuple(sorted(i.lease.fresh.items())),
+                    tuple(sorted(i.lease.confirmed_at.items())),
                     tuple(sorted(i.asked)),
                     tuple(sorted(i.answers)),
                     i.lease.share,
@@ -263,7 +263,7 @@
             instance.cut = False
         elif what == "restart":
             self.left = msgspec.structs.replace(self.left, restarts=self.left.restarts - 1)
-            self._start(number, instance.lease.life)
+            self._start(number, instance.lease.incarnation)
         else:
             keeper = int(where[1])
             for step in ("ask", "serve", "hear") if what == "renew" else (what,):
@@ -271,17 +271,17 @@
 
     def _step(self, instance: _Instance, keeper: int, step: str) -> None:
         if step == "ask":
-            instance.asked[keeper] = instance.lease.ask(self.now * instance.rate, 0.0)
+            instance.asked[keeper] = instance.lease.renew_request(self.now * instance.rate, 0.0)
             instance.answers.pop(keeper, None)
         elif step == "serve" and (asked := instance.asked.pop(keeper, None)) is not None:
             instance.answers[keeper] = self._serve(keeper, asked)
         elif step == "hear" and (answer := instance.answers.pop(keeper, None)) is not None:
             if self.counts_from_arrival:
                 answer = msgspec.structs.replace(answer, sent=self.now * instance.rate)
-            instance.lease.answered(keeper, answer)
+            instance.lease.handle_reply(keeper, answer)
             queue = instance.lease.state.queue
             if queue:
-                instance.lease.ready, instance.lease.cannot = queue[0].version, ""
+                instance.lease.ready_version, instance.lease.apply_error = queue[0].version, ""
 
     def _start(self, number: int, replaces: str) -> None:
         self.lives += 1
@@ -289,18 +289,30 @@
         made = _Instance(lease, RATES[number % len(RATES)])
         self.instances[number : number + 1] = [made]
 
-    def _serve(self, keeper: int, asked: Renew) -> Renewed:
+    def _serve(self, keeper: int, asked: RenewRequest) -> RenewReply:
         core = self.keepers[keeper]
-        self.reports[keeper].take(
+        self.reports[keeper].record(
             self.now,
             Report(
-                asked.life, asked.name, asked.number, asked.ready, asked.cannot, asked.wants, asked.replaces
+                asked.incarnation,
+                asked.name,
+                asked.number,
+                asked.ready_version,
+                asked.apply_error,
+                asked.intent,
+                asked.replaces,
             ),
         )
-        news = core.since(asked.number)
-        hindrance = core.state.hindrance(Newcomer(asked.name, asked.life, asked.replaces))
-        return Renewed(
-            asked.sent, core.number, core.certain, asked.life in core.state.members, False, hindrance, news
+        news = core.catch_up_since(asked.number)
+        hindrance = core.state.join_error(Newcomer(asked.name, asked.incarnation, asked.replaces))
+        return RenewReply(
+            asked.sent,
+            core.number,
+            core.certain,
+            asked.incarnation in core.state.members,
+            False,
+            hindrance,
+            news,
         )
 
     def _propose(self) -> None:
@@ -309,35 +321,35 @@
         if turn < len(VERSIONS) and keeper.proposal is None:
             self.proposed += 1
             body = Proposed(VERSIONS[turn], keeper.state.newest, "any", "", f"t{turn}", 0.0)
-            self._carry_out(self.leader, keeper.offer(self.now, 1, body))
+            self._carry_out(self.leader, keeper.submit(self.now, 1, body))
 
     def _write(self) -> None:
         keeper = self.keepers[self.leader]
         if keeper.leads and keeper.proposal is None:
-            due = self.stewards[self.leader].next(self.now, keeper.state)
+            due = self.stewards[self.leader].next_entry(self.now, keeper.state)
             if due is not None:
-                self._carry_out(self.leader, keeper.offer(self.now, 1, due))
+                self._carry_out(self.leader, keeper.submit(self.now, 1, due))
 
     def _lead(self, number: int) -> None:
         keeper = self.keepers[number]
         for other in self.keepers:
-            other.leader_at = -1e9
+            other.leader_heard_at = -1e9
         if keeper.leads:
             return
-        keeper.due = self.now
+        keeper.election_due = self.now
         self._carry_out(number, keeper.tick(self.now))
         for peer in (p for p in range(3) if p != number):
             self._talk(number, peer)
         if keeper.leads:
             self.leader = number
-            self.stewards[number].lead(self.now)
+            self.stewards[number].reset_waits(self.now)
 
     def _sync(self, place: int) -> None:
         """The leader talks with one follower until they have nothing more to say."""
         peer = [k for k in range(3) if k != self.leader][place - 1]
         keeper = self.keepers[self.leader]
         if keeper.leads:
-            keeper.next_at, keeper.heard = self.now, dict.fromkeys(keeper.others, self.now)
+            keeper.next_send_at, keeper.last_reply_at = self.now, dict.fromkeys(keeper.others, self.now)
             self._carry_out(self.leader, keeper.tick(self.now))
             self._talk(self.leader, peer)
 
@@ -347,9 +359,9 @@
             for sender, to in ((one, other), (other, one)):
                 for said in self._box(sender, to):
                     moved = True
-                    if isinstance(said, Here):
-                        self.reports[to].hand_over(self.now, said.news)
-                    self._carry_out(to, self.keepers[to].hear(self.now, sender, said))
+                    if isinstance(said, HeartbeatReply):
+                        self.reports[to].merge(self.now, said.reports)
+                    self._carry_out(to, self.keepers[to].receive(self.now, sender, said))
             if not moved:
                 break
         self.boxes: dict[tuple[int, int], list[Any]] = {}
@@ -364,9 +376,9 @@
             self.boxes = {k: list(v) for k, v in self.boxes.items()}
         for action in actions:
             if isinstance(action, Send):
-                what = action.what
-                if isinstance(what, Here):
-                    what = Here(what.ballot, what.number, self.reports[me].news(self.now))
+                what = action.message
+                if isinstance(what, HeartbeatReply):
+                    what = HeartbeatReply(what.ballot, what.number, self.reports[me].take_unsent(self.now))
                 self.boxes.setdefault((me, action.to), []).append(what)
 
     # ---- what must hold
@@ -374,25 +386,25 @@
     def _look(self) -> None:
         for instance in self.instances:
             if not instance.stopped:
-                instance.acting = instance.lease.acting(self.now * instance.rate)
+                instance.acting = instance.lease.effective_settings(self.now * instance.rate)
         acting = [(i, i.acting) for i in self.instances if i.acting is not None and i.acting.share]
         for _, act in acting:
-            if act.led:
+            if act.has_lease:
                 self.first_acted.setdefault(act.version, self.now)
         self.fault = self.fault or self._contradiction(acting) or self._sum(acting) or self._places(acting)
 
-    def _contradiction(self, acting: list[tuple[_Instance, Acting]]) -> str:
+    def _contradiction(self, acting: list[tuple[_Instance, EffectiveSettings]]) -> str:
         for instance, act in acting:
             newer = [at for version, at in self.first_acted.items() if version > act.version]
             window = act.document.terms.window_ms
-            if act.led and newer and self.now - min(newer) > window + SLACK:
+            if act.has_lease and newer and self.now - min(newer) > window + SLACK:
                 return (
                     f"{instance.lease.name} acts on version {act.version} "
                     f"{self.now - min(newer):.0f} ms after a newer one was in force"
                 )
         return ""
 
-    def _sum(self, acting: list[tuple[_Instance, Acting]]) -> str:
+    def _sum(self, acting: list[tuple[_Instance, EffectiveSettings]]) -> str:
         known = max((k.state for k in self.keepers), key=lambda state: state.number)
         whole = known.document
         if whole is None:
@@ -402,11 +414,11 @@
             return f"all act on {granted:.3f} of {whole.plans[0].rate:g} a second"
         return ""
 
-    def _places(self, acting: list[tuple[_Instance, Acting]]) -> str:
+    def _places(self, acting: list[tuple[_Instance, EffectiveSettings]]) -> str:
         held: dict[int, str] = {}
         for instance, act in acting:
             terms = act.document.terms
-            if not act.led and act.share <= terms.least_share * LEAST_PART + SLACK:
+            if not act.has_lease and act.share <= terms.least_share * LOWEST_RATIO + SLACK:
                 continue  # acts on no place
             if (other := held.setdefault(act.index, instance.lease.name)) != instance.lease.name:
                 return f"{other} and {instance.lease.name} both act on index {act.index}"
--- a/tamarindfold/modelcheck/planted.py
+++ b/tamarindfold/modelcheck/planted.py
@@ -11,8 +11,8 @@
 from tamarindfold.agreement import document as documents
 from tamarindfold.agreement.consensus import Accept, Keeper, Promise, Save, Vote
 from tamarindfold.agreement.lease import Lease
-from tamarindfold.agreement.state import Held, State
-from tamarindfold.agreement.steward import Steward
+from tamarindfold.agreement.state import HeldShare, State
+from tamarindfold.agreement.reconciler import Reconciler
 from tamarindfold.modelcheck.keepers import KeeperWorld
 from tamarindfold.modelcheck.leases import LeaseWorld
 
@@ -20,20 +20,20 @@
 class _ForgetsPromises(Keeper):
     """Accepts in a ballot lower than the one it promised."""
 
-    def _accept(self, now: float, sender: int, what: Accept) -> None:
+    def _handle_accept(self, now: float, sender: int, what: Accept) -> None:
         self.promised = min(self.promised, what.ballot)
-        super()._accept(now, sender, what)
+        super()._handle_accept(now, sender, what)
 
 
 class _IgnoresVotes(Keeper):
     """Leads without a look at what others may have chosen with an earlier leader."""
 
-    def _promised(self, now: float, sender: int, what: Promise) -> None:
-        super()._promised(now, sender, changed(what, vote=None))
+    def _handle_promise(self, now: float, sender: int, what: Promise) -> None:
+        super()._handle_promise(now, sender, changed(what, vote=None))
 
-    def _stand(self, now: float) -> None:
+    def _start_election(self, now: float) -> None:
         self.vote = None
-        super()._stand(now)
+        super()._start_election(now)
 
 
 class _HalfIsEnough(Keeper):
@@ -57,11 +57,11 @@
 class _BelievesAnyBallot(Keeper):
     """Takes what it had accepted for chosen, whichever leader's ballot that was in."""
 
-    def _advance(self, ballot: tuple[int, int], number: int) -> None:
-        vote = self._open_vote()
+    def _learn_chosen(self, ballot: tuple[int, int], number: int) -> None:
+        vote = self._pending_vote()
         if vote is not None and number >= vote.entry.number:
             self.vote = Vote(ballot, vote.entry)
-        super()._advance(ballot, number)
+        super()._learn_chosen(ballot, number)
 
 
 def _world(planted: type[Keeper], trusted: bool = False) -> type[KeeperWorld]:
@@ -81,11 +81,11 @@
 # ---- leases and shares
 
 
-def _no_wait_for_floor(self: Steward, now: float, state: State, held: Held) -> bool:
+def _no_wait_for_floor(self: Reconciler, now: float, state: State, held: HeldShare) -> bool:
     return held.index >= 0
 
 
-def _everybody_has(self: Steward, life: str, number: int) -> bool:
+def _everybody_has(self: Reconciler, life: str, number: int) -> bool:
     return True
 
 
@@ -94,19 +94,19 @@
 
 
 def _one_keeper_will_do(self: Lease, now: float) -> float:
-    member = self.state.members.get(self.life)
-    if not self.fresh or member is None or not member.acting:
+    member = self.state.members.get(self.incarnation)
+    if not self.confirmed_at or member is None or not member.active:
         return float("-inf")
-    return max(self.fresh.values()) + self.state.terms.lease_ms
+    return max(self.confirmed_at.values()) + self.state.terms.lease_ms
 
 
 def _never_ends(self: Lease, now: float) -> float:
-    member = self.state.members.get(self.life)
-    return float("inf") if self.fresh and member is not None and member.acting else float("-inf")
+    member = self.state.members.get(self.incarnation)
+    return float("inf") if self.confirmed_at and member is not None and member.active else float("-inf")
 
 
 def _always_certain(self: Keeper) -> bool:
-    return self.proven
+    return self.recovered
 
 
 def _no_joint(old: Any, new: Any) -> bool:
@@ -122,15 +122,19 @@
 
 
 LEASE_FAULTS: dict[str, tuple[Any, str, Any]] = {
-    "a lost instance is taken to be on the least share at once": (Steward, "_is_floored", _no_wait_for_floor),
-    "a step goes on before all have taken it up": (Steward, "_has", _everybody_has),
-    "a lost instance's share is handed out at once": (State, "_lose", _lose_and_forget),
+    "a lost instance is taken to be on the least share at once": (
+        Reconciler,
+        "_is_reduced",
+        _no_wait_for_floor,
+    ),
+    "a step goes on before all have taken it up": (Reconciler, "_has_applied", _everybody_has),
+    "a lost instance's share is handed out at once": (State, "_mark_lost", _lose_and_forget),
     "a lease counts from the answer": (LeaseWorld, "counts_from_arrival", True),
-    "one keeper's answer is a lease": (Lease, "until", _one_keeper_will_do),
-    "who has no lease keeps its share whatever it has taken up": (Lease, "_kept", _keeps_all),
-    "a lease never ends": (Lease, "until", _never_ends),
-    "a sum is lowered without a joint step": (documents, "needs_joint", _no_joint),
-    "a sum is lowered whatever lost instances may act on": (State, "bearable", _bearable),
+    "one keeper's answer is a lease": (Lease, "expires_at", _one_keeper_will_do),
+    "who has no lease keeps its share whatever it has taken up": (Lease, "_share_without_lease", _keeps_all),
+    "a lease never ends": (Lease, "expires_at", _never_ends),
+    "a sum is lowered without a joint step": (documents, "needs_joint_phase", _no_joint),
+    "a sum is lowered whatever lost instances may act on": (State, "safe_with_held_shares", _bearable),
 }
 
 
--- a/tamarindfold/modelcheck/simulated.py
+++ b/tamarindfold/modelcheck/simulated.py
@@ -11,12 +11,20 @@
 from random import Random
 from typing import Any
 
-from tamarindfold.agreement.consensus import Action, Chose, Disk, Here, Keeper, Outcome, Send
+from tamarindfold.agreement.consensus import (
+    Action,
+    EntriesChosen,
+    DurableState,
+    HeartbeatReply,
+    Keeper,
+    Outcome,
+    Send,
+)
 from tamarindfold.agreement.document import Document
-from tamarindfold.agreement.lease import Lease, Renew, Renewed
+from tamarindfold.agreement.lease import Lease, RenewRequest, RenewReply
 from tamarindfold.agreement.log import Body, Newcomer, Proposed
 from tamarindfold.agreement.reports import Report, Reports
-from tamarindfold.agreement.steward import Steward
+from tamarindfold.agreement.reconciler import Reconciler
 
 TICK_MS = 10.0
 WAITS = 8  # questions in a window, as agreement.driver asks them
@@ -38,12 +46,12 @@
         self.now, self.random, self.order = 0.0, Random(seed), count()
         self.link_ms, self.answer_ms, self.sync_ms = link_ms, answer_ms, sync_ms
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.keepers = [Keeper(k, keepers, Disk(), seed + k, 0.0) for k in range(keepers)]
+        self.keepers = [Keeper(k, keepers, DurableState(), seed + k, 0.0) for k in range(keepers)]
         self.reports = [Reports() for _ in range(keepers)]
-        self.stewards = [Steward(reports) for reports in self.reports]
+        self.stewards = [Reconciler(reports) for reports in self.reports]
         self.led = [False] * keepers
         self.busy = [0.0] * keepers  # until when each is at work
-        self.waiting: list[list[tuple[int, Renew]]] = [[] for _ in range(keepers)]
+        self.waiting: list[list[tuple[int, RenewRequest]]] = [[] for _ in range(keepers)]
         self.leases = [Lease(f"{i:08x}", f"i{i}", keepers) for i in range(instances)]
         self.version = [0] * instances
         self.share = [0.0] * instances
@@ -84,36 +92,36 @@
         self._do(k, keeper.tick(self.now))
         if keeper.leads != self.led[k]:
             self.led[k] = keeper.leads
-            self.stewards[k].lead(self.now)
+            self.stewards[k].reset_waits(self.now)
         if keeper.leads and keeper.proposal is None:
-            due = self.stewards[k].next(self.now, keeper.state)
+            due = self.stewards[k].next_entry(self.now, keeper.state)
             if due is not None:
-                self._do(k, keeper.offer(self.now, 0, due))
+                self._do(k, keeper.submit(self.now, 0, due))
 
     def _do(self, k: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                what = action.what
-                if isinstance(what, Here):
-                    what = Here(what.ballot, what.number, self.reports[k].news(self.now))
+                what = action.message
+                if isinstance(what, HeartbeatReply):
+                    what = HeartbeatReply(what.ballot, what.number, self.reports[k].take_unsent(self.now))
                 self._at(self._link() + self.sync_ms, self._hear, action.to, k, what)
             elif isinstance(action, Outcome):
                 self.outcomes[action.ticket] = action
-            elif isinstance(action, Chose):
+            elif isinstance(action, EntriesChosen):
                 waiting, self.waiting[k] = self.waiting[k], []
                 for i, asked in waiting:
                     self._answer(k, i, asked)
 
     def _hear(self, k: int, sender: int, what: Any) -> None:
-        if isinstance(what, Here):
-            self.reports[k].hand_over(self.now, what.news)
-        self._do(k, self.keepers[k].hear(self.now, sender, what))
+        if isinstance(what, HeartbeatReply):
+            self.reports[k].merge(self.now, what.reports)
+        self._do(k, self.keepers[k].receive(self.now, sender, what))
 
     def offer(self, ticket: int, body: Body) -> bool:
         """Hand the leader something; False where nobody leads."""
         for k, keeper in enumerate(self.keepers):
             if keeper.leads:
-                self._do(k, keeper.offer(self.now, ticket, body))
+                self._do(k, keeper.submit(self.now, ticket, body))
                 return True
         return False
 
@@ -131,60 +139,68 @@
             self._at(200.0, self._ask, i, k)
             return
         lease = self.leases[i]
-        asked = lease.ask(self.now, lease.state.terms.window_ms / WAITS)
+        asked = lease.renew_request(self.now, lease.state.terms.window_ms / WAITS)
         self._at(self._link(), self._asked, k, i, asked)
 
-    def _asked(self, k: int, i: int, asked: Renew) -> None:
+    def _asked(self, k: int, i: int, asked: RenewRequest) -> None:
         keeper = self.keepers[k]
-        if not keeper.proven:
+        if not keeper.recovered:
             self._at(100.0, self._ask, i, k)
             return
-        self.reports[k].take(
-            self.now, Report(asked.life, asked.name, asked.number, asked.ready, asked.cannot, asked.wants)
+        self.reports[k].record(
+            self.now,
+            Report(
+                asked.incarnation,
+                asked.name,
+                asked.number,
+                asked.ready_version,
+                asked.apply_error,
+                asked.intent,
+            ),
         )
-        if asked.number == keeper.number and keeper.certain and asked.wants == "stay":
+        if asked.number == keeper.number and keeper.certain and asked.intent == "stay":
             self.waiting[k].append((i, asked))
             self._at(asked.wait_ms, self._waited, k, i, asked)
         else:
             self._answer(k, i, asked)
 
-    def _waited(self, k: int, i: int, asked: Renew) -> None:
+    def _waited(self, k: int, i: int, asked: RenewRequest) -> None:
         if (i, asked) in self.waiting[k]:
             self.waiting[k].remove((i, asked))
             self._answer(k, i, asked)
 
-    def _answer(self, k: int, i: int, asked: Renew) -> None:
+    def _answer(self, k: int, i: int, asked: RenewRequest) -> None:
         keeper = self.keepers[k]
         self.busy[k] = max(self.busy[k], self.now) + self.answer_ms
-        answer = Renewed(
+        answer = RenewReply(
             asked.sent,
             keeper.number,
             keeper.certain,
-            asked.life in keeper.state.members,
+            asked.incarnation in keeper.state.members,
             False,
-            keeper.state.hindrance(Newcomer(asked.name, asked.life)),
-            keeper.since(asked.number),
+            keeper.state.join_error(Newcomer(asked.name, asked.incarnation)),
+            keeper.catch_up_since(asked.number),
         )
         self._at(self.busy[k] - self.now + self._link(), self._answered, i, k, answer)
 
-    def _answered(self, i: int, k: int, answer: Renewed) -> None:
+    def _answered(self, i: int, k: int, answer: RenewReply) -> None:
         lease = self.leases[i]
         if i not in self.cut:
-            lease.answered(k, answer)
+            lease.handle_reply(k, answer)
             if lease.state.queue:
-                lease.ready, lease.cannot = lease.state.queue[0].version, ""
+                lease.ready_version, lease.apply_error = lease.state.queue[0].version, ""
         self.look(i)
-        wait = 0.0 if lease.led else lease.state.terms.window_ms / WAITS / 4
+        wait = 0.0 if lease.has_lease else lease.state.terms.window_ms / WAITS / 4
         self._at(wait, self._ask, i, k)
 
     def look(self, i: int) -> None:
         """What an instance acts on now."""
-        acting = self.leases[i].acting(self.now)
+        acting = self.leases[i].effective_settings(self.now)
         if acting is None or not acting.share:
             return
-        if not acting.led:
+        if not acting.has_lease:
             self.unled += 1
-        if acting.led and acting.version != self.version[i]:
+        if acting.has_lease and acting.version != self.version[i]:
             self.version[i] = acting.version
             self.taken.setdefault(acting.version, []).append(self.now)
         self.share[i] = acting.share
@@ -198,4 +214,4 @@
     @property
     def acting(self) -> int:
         """How many act under a lease."""
-        return sum(lease.led for lease in self.leases)
+        return sum(lease.has_lease for lease in self.leases)
--- a/tamarindfold/rehearsal/fleet.py
+++ b/tamarindfold/rehearsal/fleet.py
@@ -12,7 +12,7 @@
 import gevent
 import msgspec
 
-from tamarindfold.agreement.document import SHARED
+from tamarindfold.agreement.document import SHARED_SECTIONS
 from tamarindfold.config import derive
 from tamarindfold.config.load import ConfigError, convert
 from tamarindfold.config.model import GatewayConfig
@@ -224,7 +224,7 @@
         assert self.agreed is not None
         self.settings = self.settings | changes
         made = self._whole(0)
-        document = {name: made[name] for name in (*SHARED, "terms") if name in made}
+        document = {name: made[name] for name in (*SHARED_SECTIONS, "terms") if name in made}
         document["max_attempts"] = made.get("upstream", {}).get("max_attempts", 3)
         told = self.agreed.propose(document, self.newest)
         if not told.version:
@@ -234,7 +234,7 @@
     def _agreed_config(self, i: int, made: dict[str, Any]) -> dict[str, Any]:
         """An instance's own file: what is agreed is not in it."""
         assert self.agreed is not None
-        own = {name: part for name, part in made.items() if name not in (*SHARED, "terms")}
+        own = {name: part for name, part in made.items() if name not in (*SHARED_SECTIONS, "terms")}
         own["upstream"] = {k: v for k, v in own["upstream"].items() if k != "max_attempts"}
         own["instance"] = {k: v for k, v in own["instance"].items() if k not in ("index", "gateways")}
         return own | {"agreement": self.agreed.section(i, f"gateway-{i}")}
--- a/tamarindfold/rehearsal/keepers.py
+++ b/tamarindfold/rehearsal/keepers.py
@@ -18,7 +18,7 @@
 
 from tamarindfold.agreement import wire
 from tamarindfold.agreement.document import Document, check
-from tamarindfold.agreement.operator import NoAnswer, Operator
+from tamarindfold.agreement.operator_client import NoAnswer, OperatorClient
 from tamarindfold.agreement.state import State, decode
 from tamarindfold.config.addresses import split_address
 from tamarindfold.identity.files import make_pair, private_path, public_path, signing_key
@@ -88,7 +88,7 @@
                 )
         self.programs = [self._keeper(k) for k in range(keepers)]
         self.key = signing_key(private_path(out / "state" / "fleet"))
-        self.operator = Operator([split_address(a, "keeper") for a in self.addresses], self.key)
+        self.operator = OperatorClient([split_address(a, "keeper") for a in self.addresses], self.key)
 
     # ---- processes
 
@@ -165,24 +165,24 @@
     def look(self) -> State | None:
         """What the keeper sees that knows most; None where none answers."""
         try:
-            return decode(self._call(self.operator.look).state)
+            return decode(self._call(self.operator.status).state)
         except NoAnswer:
             return None
 
     def voting(self) -> set[int]:
         """Which keepers answer an operator, and have heard what they need before they may vote."""
         try:
-            return {look.keeper for look in self._call(self.operator.looks) if look.proven}
+            return {look.keeper for look in self._call(self.operator.statuses) if look.recovered}
         except NoAnswer:
             return set()
 
     def leader(self) -> int:
         """Which keeper leads, by its own word; -1: none."""
         try:
-            looks = self._call(self.operator.looks)
+            looks = self._call(self.operator.statuses)
         except NoAnswer:
             return -1
-        return next((look.keeper for look in looks if look.leader == look.keeper and look.proven), -1)
+        return next((look.keeper for look in looks if look.leader == look.keeper and look.recovered), -1)
 
     def propose(
         self,
@@ -192,14 +192,14 @@
         author: str = "rehearsal",
         seconds: float = 20.0,
         first: tuple[str, ...] = (),
-    ) -> wire.Told:
+    ) -> wire.OperatorReply:
         """Propose a version with a mark of its own; NoAnswer where nothing is known of what came of it."""
         if base is None:
             state = self.look()
             base = state.newest if state is not None else 0
         made = msgspec.convert(marked(document, base + 1), Document)
         check(made)
-        body = wire.Propose(made, base, author, "a day's event", token or uuid.uuid4().hex, first)
+        body = wire.Proposal(made, base, author, "a day's event", token or uuid.uuid4().hex, first)
         began = self.clock()
         self.ledger.note(began, "propose", base=base, token=body.token)
         told = self.say(body, seconds)
@@ -208,14 +208,14 @@
         )
         return told
 
-    def say(self, what: wire.Propose | wire.Command, seconds: float = 20.0) -> wire.Told:
+    def say(self, what: wire.Proposal | wire.OperatorCommand, seconds: float = 20.0) -> wire.OperatorReply:
         """A proposal or a command as it stands."""
-        told: wire.Told = self._call(self.operator.tell, what, seconds)
+        told: wire.OperatorReply = self._call(self.operator.send, what, seconds)
         return told
 
-    def tell(self, what: str, version: int = 0, name: str = "") -> wire.Told:
+    def tell(self, what: str, version: int = 0, name: str = "") -> wire.OperatorReply:
         """An operator's command."""
-        return self.say(wire.Command(what, version, name, "rehearsal"))
+        return self.say(wire.OperatorCommand(what, version, name, "rehearsal"))
 
     def in_force(self, version: int, seconds: float = 30.0) -> None:
         """Wait until a version is in force."""
