--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,4 +1,6 @@
-"""The agreement's objects by themselves: document, log, state, consensus, lease, steward, the module's event."""
+"""Unit tests of the replicated settings: document, log, state, consensus, lease, reconciler, and the event
+by which the admission module gets new settings.
+"""
 
 from __future__ import annotations
 
@@ -11,28 +13,29 @@
 from click.testing import CliRunner
 
 from tamarindfold.agreement import document as documents
-from tamarindfold.agreement.consensus import Disk, Fill, Keeper, Save, Send
+from tamarindfold.agreement.consensus import CatchUp, DurableState, Keeper, Save, Send
 from tamarindfold.agreement.document import Document
-from tamarindfold.agreement.lease import Lease, Renewed
+from tamarindfold.agreement.lease import Lease, RenewReply
 from tamarindfold.agreement.log import (
-    BEGINNING,
-    Floored,
+    EMPTY_CHAIN,
     InForce,
     Joined,
-    JointBegan,
+    JointPhaseStarted,
     Left,
     Lost,
     Newcomer,
     Proposed,
-    Settled,
-    entry,
+    RosterSettled,
+    ShareReduced,
+    make_entry,
 )
+from tamarindfold.agreement.reconciler import Reconciler
 from tamarindfold.agreement.reports import Report, Reports
-from tamarindfold.agreement.state import Refused, State, decode, encode
-from tamarindfold.agreement.steward import Steward
+from tamarindfold.agreement.state import InvalidEntry, State, decode, encode
 from tamarindfold.cli.main import cli
 from tamarindfold.identity.files import make_pair
-from tamarindfold.interface import Plan, Refuse, Send as SendOn, SettingsChanged
+from tamarindfold.interface import Plan, Refuse, SettingsChanged
+from tamarindfold.interface import Send as SendOn
 from tamarindfold.keeper.disk import LogFile
 
 BASE: dict[str, Any] = {
@@ -65,11 +68,11 @@
     return [BASE["plans"][0] | figures]
 
 
-# ---- what contradicts what
+# ---- contradicting versions
 
 
 @pytest.mark.parametrize(
-    ("changes", "place", "narrow"),
+    ("changes", "path", "restricted"),
     [
         ({"plans": plan(rate=4, burst=30)}, "plans[corner].rate", 4.0),
         ({"plans": plan(rate=4, burst=30)}, "plans[corner].burst", 20.0),
@@ -107,24 +110,24 @@
         ({"max_attempts": 1}, "max_attempts", 1),
     ],
 )
-def test_the_narrower_of_two_versions_keeps_to_both(
-    changes: dict[str, Any], place: str, narrow: object
+def test_most_restrictive_of_two_versions_violates_neither(
+    changes: dict[str, Any], path: str, restricted: object
 ) -> None:
     old, new = doc(), doc(**changes)
-    assert documents.flat(documents.narrowest([old, new]))[place] == narrow
-    assert documents.flat(documents.narrowest([new, old])).get(place, narrow) == narrow
-    assert documents.needs_joint(old, new)
+    assert documents.flatten(documents.most_restrictive([old, new]))[path] == restricted
+    assert documents.flatten(documents.most_restrictive([new, old])).get(path, restricted) == restricted
+    assert documents.needs_joint_phase(old, new)
 
 
-def test_what_only_grows_or_contradicts_nothing_needs_no_joint_step() -> None:
+def test_a_change_that_only_widens_or_contradicts_nothing_needs_no_joint_phase() -> None:
     wider = doc(
         plans=plan(rate=20),
         routes=[*BASE["routes"], {"method": "GET", "path": "/new", "class": "quote"}],
         fleet={"static": [*BASE["fleet"]["static"], {"address": "127.0.0.1:9003"}]},
     )
-    assert not documents.needs_joint(doc(), wider) and documents.needs_joint(wider, doc())
-    aim = doc(classes=[BASE["classes"][0] | {"aim_ms": 700}, BASE["classes"][1]])
-    assert documents.harmless(doc(), aim) and not documents.harmless(doc(), wider)
+    assert not documents.needs_joint_phase(doc(), wider) and documents.needs_joint_phase(wider, doc())
+    other_aim = doc(classes=[BASE["classes"][0] | {"aim_ms": 700}, BASE["classes"][1]])
+    assert documents.compatible(doc(), other_aim) and not documents.compatible(doc(), wider)
 
 
 @pytest.mark.parametrize(
@@ -136,25 +139,27 @@
         ({"plans": [], "customers": {"default_plan": "corner"}}, "customers.default_plan"),
     ],
 )
-def test_what_no_instance_could_apply_is_refused_with_its_place(changes: dict[str, Any], reason: str) -> None:
+def test_a_document_that_no_instance_could_apply_is_rejected_with_the_path(
+    changes: dict[str, Any], reason: str
+) -> None:
     with pytest.raises(ValueError, match=reason.replace("[", r"\[").replace("]", r"\]")):
         documents.check(doc(**changes))
 
 
-def test_a_running_instance_keeps_the_places_of_classes_and_plans() -> None:
+def test_classes_and_plans_must_keep_their_order_and_the_fleet_its_source() -> None:
     with pytest.raises(ValueError, match="classes"):
-        documents.check_after(doc(), doc(classes=BASE["classes"][::-1]))
+        documents.check_change(doc(), doc(classes=BASE["classes"][::-1]))
     with pytest.raises(ValueError, match=r"fleet"):
-        documents.check_after(doc(), doc(fleet={"feed": "127.0.0.1:9"}))
+        documents.check_change(doc(), doc(fleet={"feed": "127.0.0.1:9"}))
 
 
 # ---- the state
 
 
-def grow(state: State, *bodies: Any) -> State:
+def extend(state: State, *bodies: Any) -> State:
     for body in bodies:
         state.check(body)
-        state.apply(entry(state.number + 1, state.chain, body))
+        state.apply(make_entry(state.number + 1, state.chain, body))
     return state
 
 
@@ -162,105 +167,121 @@
     return Proposed(document, base, "ann", "why", token or f"t{base}", 0.0)
 
 
-def roster(*lives: str) -> State:
-    state = grow(State(), proposed(doc(), 0), InForce(1))
-    return grow(state, Joined(tuple(Newcomer(f"i-{life}", life) for life in lives)), Settled(3))
+def state_with_members(*incarnations: str) -> State:
+    state = extend(State(), proposed(doc(), 0), InForce(1))
+    return extend(
+        state,
+        Joined(tuple(Newcomer(f"i-{incarnation}", incarnation) for incarnation in incarnations)),
+        RosterSettled(3),
+    )
 
 
-def act_on(state: State) -> float:
+def total_share(state: State) -> float:
     return state.share * len(state.members) + sum(h.share for h in state.held.values())
 
 
-def test_shares_are_the_whole_and_grow_only_when_all_have_taken_up_the_change() -> None:
-    state = roster("a", "b")
+def test_shares_add_up_to_the_whole_and_grow_only_once_all_members_applied_the_change() -> None:
+    state = state_with_members("a", "b")
     assert state.share == pytest.approx(0.5)
-    grow(state, Joined((Newcomer("i-c", "c"),)))
-    assert state.share == pytest.approx(1 / 3) and not state.members["c"].acting
-    grow(state, Settled(state.number), Left(("b",)))
-    assert state.share == pytest.approx(1 / 3)  # not before all know that b is gone
-    with pytest.raises(Refused):
-        state.check(Settled(state.dirty - 1))
-    grow(state, Settled(state.number))
+    extend(state, Joined((Newcomer("i-c", "c"),)))
+    assert state.share == pytest.approx(1 / 3) and not state.members["c"].active
+    extend(state, RosterSettled(state.number), Left(("b",)))
+    assert state.share == pytest.approx(1 / 3)  # not until all members have applied the departure of b
+    with pytest.raises(InvalidEntry):
+        state.check(RosterSettled(state.unsettled_number - 1))
+    extend(state, RosterSettled(state.number))
     assert state.share == pytest.approx(0.5) and sorted(m.index for m in state.members.values()) == [0, 1]
 
 
-def test_a_lost_instances_share_and_index_are_kept_until_it_is_at_the_least() -> None:
-    state = grow(roster("a", "b", "c"), Lost(("b",), (1,)), Settled(5))
-    assert state.held["b"].share == pytest.approx(1 / 3) and act_on(state) == pytest.approx(1)
-    grow(state, Joined((Newcomer("i-d", "d"),)), Settled(state.number + 1))
+def test_a_lost_instance_keeps_share_and_index_until_it_is_on_the_least_share() -> None:
+    state = extend(state_with_members("a", "b", "c"), Lost(("b",), (1,)), RosterSettled(5))
+    assert state.held["b"].share == pytest.approx(1 / 3) and total_share(state) == pytest.approx(1)
+    extend(state, Joined((Newcomer("i-d", "d"),)), RosterSettled(state.number + 1))
     assert state.held["b"].index not in {m.index for m in state.members.values()}
-    assert act_on(state) == pytest.approx(1)
-    grow(state, Floored(("b",)), Settled(state.number + 1))
-    assert state.held["b"].share == state.terms.least_share and act_on(state) == pytest.approx(1)
+    assert total_share(state) == pytest.approx(1)
+    extend(state, ShareReduced(("b",)), RosterSettled(state.number + 1))
+    assert state.held["b"].share == state.terms.least_share and total_share(state) == pytest.approx(1)
     assert sorted(m.index for m in state.members.values()) == [0, 1, 2]
-    assert state.gateways(state.share) >= 3
+    assert state.gateway_count(state.share) >= 3
 
 
-def test_a_sum_is_not_lowered_below_what_a_lost_instance_may_act_on() -> None:
-    state = grow(roster("a", "b"), Lost(("b",), (1,)), Settled(5))
-    assert not state.bearable(doc(plans=plan(rate=5))) and state.bearable(doc(plans=plan(rate=50)))
-    grow(state, Floored(("b",)))
-    assert state.bearable(doc(plans=plan(rate=5))) and not state.bearable(doc(plans=plan(rate=0.5)))
+def test_a_limit_is_not_lowered_below_what_a_lost_instance_may_act_on() -> None:
+    state = extend(state_with_members("a", "b"), Lost(("b",), (1,)), RosterSettled(5))
+    assert not state.safe_with_held_shares(doc(plans=plan(rate=5))) and state.safe_with_held_shares(
+        doc(plans=plan(rate=50))
+    )
+    extend(state, ShareReduced(("b",)))
+    assert state.safe_with_held_shares(doc(plans=plan(rate=5))) and not state.safe_with_held_shares(
+        doc(plans=plan(rate=0.5))
+    )
 
 
-def test_where_lost_ones_may_act_on_everything_a_newcomer_still_has_a_share() -> None:
-    state = grow(roster("a"), Lost(("a",), (1,)), Joined((Newcomer("i-b", "b"),)), Settled(6))
+def test_a_newcomer_has_a_share_even_if_lost_instances_hold_everything() -> None:
+    state = extend(
+        state_with_members("a"), Lost(("a",), (1,)), Joined((Newcomer("i-b", "b"),)), RosterSettled(6)
+    )
     assert state.held["a"].share == pytest.approx(1) and 0 < state.share < 1e-6
     assert (
-        state.gateways(state.share) > 1e6 and roster("a", "b", "c").gateways(roster("a", "b", "c").share) == 3
+        state.gateway_count(state.share) > 1e6
+        and state_with_members("a", "b", "c").gateway_count(state_with_members("a", "b", "c").share) == 3
     )
 
 
-def test_without_a_lease_an_instance_follows_what_it_says_that_it_has_taken_up() -> None:
-    state, lease = roster("a", "b"), Lease("a", "i-a", 3)
-    well(lease, state, 0.0)
-    assert lease.acting(1.0).share == pytest.approx(1 / 2)
+def test_without_a_lease_the_share_still_shrinks_with_the_entries_applied() -> None:
+    state, lease = state_with_members("a", "b"), Lease("a", "i-a", 3)
+    confirm(lease, state, 0.0)
+    assert lease.effective_settings(1.0).share == pytest.approx(1 / 2)
     later = state.terms.lease_ms + 1
-    grow(state, Joined((Newcomer("i-c", "c"),)))
-    lease.answered(
-        0, Renewed(later, state.number, True, True, news=Fill((), encode(state)))
-    )  # one keeper alone
-    assert not lease.acting(later).led and lease.acting(later).share == pytest.approx(1 / 3)
-
-
-def test_a_version_that_was_forced_on_an_instance_ends_its_lease_until_another_is_in_force() -> None:
-    state, lease = roster("a"), Lease("a", "i-a", 3)
-    grow(state, proposed(doc(max_attempts=2), 1))
-    well(lease, state, 0.0)
-    assert lease.judged(2, "no such thing") and not lease.judged(2, "no such thing")
-    grow(state, InForce(2, True), proposed(doc(max_attempts=1), 2))
-    well(lease, state, 10.0)
-    lease.judged(3, "")  # the next one can be applied, which says nothing of the one in force
-    assert not lease.acting(11.0).led and "no such thing" in lease.acting(11.0).why
-    grow(state, JointBegan(3), InForce(3))
-    well(lease, state, 20.0)
-    assert lease.acting(21.0).led
-
-
-def test_a_name_has_one_living_process_and_the_roster_a_bound() -> None:
-    state = roster("a")
-    with pytest.raises(Refused, match="another process lives"):
+    extend(state, Joined((Newcomer("i-c", "c"),)))
+    # updates from a single keeper, without a majority
+    lease.handle_reply(0, RenewReply(later, state.number, True, True, updates=CatchUp((), encode(state))))
+    assert not lease.effective_settings(later).has_lease and lease.effective_settings(
+        later
+    ).share == pytest.approx(1 / 3)
+
+
+def test_an_inapplicable_forced_version_ends_the_lease_until_another_is_in_force() -> None:
+    state, lease = state_with_members("a"), Lease("a", "i-a", 3)
+    extend(state, proposed(doc(max_attempts=2), 1))
+    confirm(lease, state, 0.0)
+    assert lease.record_applicability(2, "no such thing") and not lease.record_applicability(
+        2, "no such thing"
+    )
+    extend(state, InForce(2, True), proposed(doc(max_attempts=1), 2))
+    confirm(lease, state, 10.0)
+    lease.record_applicability(3, "")  # that the next one can be applied does not change that
+    assert (
+        not lease.effective_settings(11.0).has_lease and "no such thing" in lease.effective_settings(11.0).why
+    )
+    extend(state, JointPhaseStarted(3), InForce(3))
+    confirm(lease, state, 20.0)
+    assert lease.effective_settings(21.0).has_lease
+
+
+def test_a_name_belongs_to_one_process_and_the_roster_is_bounded() -> None:
+    state = state_with_members("a")
+    with pytest.raises(InvalidEntry, match="another process lives"):
         state.check(Joined((Newcomer("i-a", "x"),)))
-    grow(state, Joined((Newcomer("i-a", "x", "a"),)))
+    extend(state, Joined((Newcomer("i-a", "x", "a"),)))
     assert set(state.members) == {"x"} and state.members["x"].index == 0
     state.documents[1] = doc(terms={"most_instances": 1})
-    with pytest.raises(Refused, match="most_instances"):
+    with pytest.raises(InvalidEntry, match="most_instances"):
         state.check(Joined((Newcomer("i-y", "y"),)))
 
 
-def test_a_proposal_made_from_an_older_version_is_refused_with_who_came_before() -> None:
-    state = grow(roster("a"), proposed(doc(max_attempts=2), 1))
-    with pytest.raises(Refused, match=r"version 2 by ann \(why\) came meanwhile"):
+def test_a_proposal_with_an_outdated_base_is_rejected_naming_the_newer_version() -> None:
+    state = extend(state_with_members("a"), proposed(doc(max_attempts=2), 1))
+    with pytest.raises(InvalidEntry, match=r"version 2 by ann \(why\) came meanwhile"):
         state.check(proposed(doc(max_attempts=1), 1))
-    grow(state, proposed(doc(max_attempts=1), 2), JointBegan(2), InForce(2))
+    extend(state, proposed(doc(max_attempts=1), 2), JointPhaseStarted(2), InForce(2))
     assert state.version == 2 and [p.version for p in state.queue] == [3]
 
 
-def test_a_state_survives_as_bytes_and_a_broken_past_is_refused() -> None:
-    state = roster("a", "b")
+def test_a_state_round_trips_and_an_entry_of_another_history_is_rejected() -> None:
+    state = state_with_members("a", "b")
     assert encode(decode(encode(state))) == encode(state)
     with pytest.raises(ValueError, match="does not follow"):
-        state.apply(entry(state.number + 1, BEGINNING, Left(("a",))))
+        state.apply(make_entry(state.number + 1, EMPTY_CHAIN, Left(("a",))))
     with pytest.raises(ValueError, match="no state"):
         decode(b"\x01")
 
@@ -268,88 +289,98 @@
 # ---- the lease
 
 
-def well(lease: Lease, state: State, sent: float, keepers: int = 2) -> None:
+def confirm(lease: Lease, state: State, sent: float, keepers: int = 2) -> None:
     for keeper in range(keepers):
-        lease.answered(keeper, Renewed(sent, state.number, True, True, news=Fill((), encode(state))))
-
-
-def test_a_lease_counts_from_the_questions_that_a_majority_answered() -> None:
-    state, lease = roster("a"), Lease("a", "i-a", 3)
-    well(lease, state, 100.0, 1)
-    assert not lease.acting(110.0).led
-    lease.answered(2, Renewed(400.0, state.number, True, True))
-    assert lease.until(410.0) == 100.0 + state.terms.lease_ms
-    lease.answered(1, Renewed(300.0, state.number, False, True))  # in doubt: says nothing
-    assert lease.until(410.0) == 100.0 + state.terms.lease_ms
-    assert lease.acting(410.0).led and not lease.acting(lease.until(410.0)).led
+        lease.handle_reply(
+            keeper, RenewReply(sent, state.number, True, True, updates=CatchUp((), encode(state)))
+        )
+
+
+def test_a_lease_counts_from_the_requests_that_a_majority_confirmed() -> None:
+    state, lease = state_with_members("a"), Lease("a", "i-a", 3)
+    confirm(lease, state, 100.0, 1)
+    assert not lease.effective_settings(110.0).has_lease
+    lease.handle_reply(2, RenewReply(400.0, state.number, True, True))
+    assert lease.expires_at(410.0) == 100.0 + state.terms.lease_ms
+    lease.handle_reply(1, RenewReply(300.0, state.number, False, True))  # not certain, so it confirms nothing
+    assert lease.expires_at(410.0) == 100.0 + state.terms.lease_ms
+    assert (
+        lease.effective_settings(410.0).has_lease
+        and not lease.effective_settings(lease.expires_at(410.0)).has_lease
+    )
 
 
-def test_without_a_lease_the_share_stays_for_a_time_and_nothing_is_repeated() -> None:
-    state, lease = roster("a", "b"), Lease("a", "i-a", 3)
-    well(lease, state, 0.0)
-    assert lease.acting(1.0).share == pytest.approx(0.5)
+def test_without_a_lease_the_share_is_kept_for_a_time_and_repeats_are_forbidden() -> None:
+    state, lease = state_with_members("a", "b"), Lease("a", "i-a", 3)
+    confirm(lease, state, 0.0)
+    assert lease.effective_settings(1.0).share == pytest.approx(0.5)
     terms = state.terms
-    acting = lease.acting(terms.lease_ms + 1)
-    assert not acting.led and acting.share == pytest.approx(0.5) and acting.number == 0
+    acting = lease.effective_settings(terms.lease_ms + 1)
+    assert not acting.has_lease and acting.share == pytest.approx(0.5) and acting.number == 0
     assert {c.effect for c in acting.document.classes} == {"unsafe"}
-    # it stood still: its time on the old share began when the lease ended, not when it woke
-    assert lease.acting(terms.lease_ms + terms.unled_ms + 1).share == pytest.approx(terms.least_share * 0.1)
+    # after a suspension: the time on the old share counts from the end of the lease, not from the resumption
+    assert lease.effective_settings(terms.lease_ms + terms.unled_ms + 1).share == pytest.approx(
+        terms.least_share * 0.1
+    )
 
 
-def test_an_answer_of_another_past_is_not_followed() -> None:
-    state, lease = roster("a"), Lease("a", "i-a", 3)
-    well(lease, state, 0.0)
-    assert not lease.answered(2, Renewed(900.0, 1, True, True, other_past=True)) and 2 not in lease.fresh
+def test_a_reply_from_a_keeper_with_a_diverged_history_is_ignored() -> None:
+    state, lease = state_with_members("a"), Lease("a", "i-a", 3)
+    confirm(lease, state, 0.0)
+    assert (
+        not lease.handle_reply(2, RenewReply(900.0, 1, True, True, diverged=True))
+        and 2 not in lease.confirmed_at
+    )
 
 
-# ---- the steward
+# ---- the reconciler
 
 
-def test_who_is_silent_is_lost_and_a_new_leader_waits_before_it_says_so() -> None:
-    state, reports = roster("a", "b"), Reports()
-    steward = Steward(reports)
-    steward.lead(0.0)
+def test_a_silent_instance_is_declared_lost_but_a_new_leader_waits_a_window_first() -> None:
+    state, reports = state_with_members("a", "b"), Reports()
+    reconciler = Reconciler(reports)
+    reconciler.reset_waits(0.0)
     window = state.terms.window_ms
-    reports.take(window + 500, Report("a", "i-a", state.number))
-    assert steward.next(window, state) is None
-    assert steward.next(window + 600, state) == Lost(("b",), (1,))
-    grow(state, Lost(("b",), (1,)))
-    reports.take(window + 700, Report("a", "i-a", state.number))
-    assert steward.next(window + 800, state) == Settled(state.number)
-
-
-def test_a_version_waits_for_all_then_goes_through_the_joint_step() -> None:
-    state, reports = roster("a", "b"), Reports()
-    steward = Steward(reports)
-    grow(state, proposed(doc(plans=plan(rate=5)), 1))
-    reports.take(0.0, Report("a", "i-a", state.number, 2))
-    reports.take(0.0, Report("b", "i-b", state.number, 1))
-    assert steward.next(1.0, state) is None and "i-b" in steward.waits_for(1.0, state)
-    reports.take(2.0, Report("b", "i-b", state.number, 2))
-    assert steward.next(3.0, state) == JointBegan(2)
-    grow(state, JointBegan(2))
-    assert state.acted_on("i-a").plans[0].rate == 5 and state.version == 1
-    assert steward.next(4.0, state) is None
-    for life in "ab":
-        reports.take(5.0, Report(life, f"i-{life}", state.number, 2))
-    assert steward.next(6.0, state) == InForce(2)
-
-
-# ---- a keeper and its disk
-
-
-def test_a_keeper_that_starts_has_no_vote_before_all_others_have_answered() -> None:
-    keeper = Keeper(0, 3, Disk(), 1, 0.0)
+    reports.record(window + 500, Report("a", "i-a", state.number))
+    assert reconciler.next_entry(window, state) is None
+    assert reconciler.next_entry(window + 600, state) == Lost(("b",), (1,))
+    extend(state, Lost(("b",), (1,)))
+    reports.record(window + 700, Report("a", "i-a", state.number))
+    assert reconciler.next_entry(window + 800, state) == RosterSettled(state.number)
+
+
+def test_a_version_waits_until_all_are_ready_then_passes_the_joint_phase() -> None:
+    state, reports = state_with_members("a", "b"), Reports()
+    reconciler = Reconciler(reports)
+    extend(state, proposed(doc(plans=plan(rate=5)), 1))
+    reports.record(0.0, Report("a", "i-a", state.number, 2))
+    reports.record(0.0, Report("b", "i-b", state.number, 1))
+    assert reconciler.next_entry(1.0, state) is None and "i-b" in reconciler.waits_for(1.0, state)
+    reports.record(2.0, Report("b", "i-b", state.number, 2))
+    assert reconciler.next_entry(3.0, state) == JointPhaseStarted(2)
+    extend(state, JointPhaseStarted(2))
+    assert state.document_for("i-a").plans[0].rate == 5 and state.version == 1
+    assert reconciler.next_entry(4.0, state) is None
+    for incarnation in "ab":
+        reports.record(5.0, Report(incarnation, f"i-{incarnation}", state.number, 2))
+    assert reconciler.next_entry(6.0, state) == InForce(2)
+
+
+# ---- keeper and disk
+
+
+def test_a_starting_keeper_does_not_vote_before_all_others_replied() -> None:
+    keeper = Keeper(0, 3, DurableState(), 1, 0.0)
     assert [a.to for a in keeper.begin(0.0) if isinstance(a, Send)] == [1, 2]
     assert keeper.tick(10_000.0) and keeper.role == "follower" and not keeper.certain
 
 
-def test_a_log_cut_in_the_midst_of_a_write_is_good_up_to_there(tmp_path: Path) -> None:
+def test_a_log_file_with_a_torn_write_is_read_up_to_it(tmp_path: Path) -> None:
     file = LogFile(tmp_path, 1 << 20)
     file.load()
-    first = entry(1, BEGINNING, Left(("a",)))
+    first = make_entry(1, EMPTY_CHAIN, Left(("a",)))
     file.write(Save((1, 0), None, (first,)), State())
-    file.write(Save((2, 1), None, (entry(2, first.chain, Left(("b",))),)), State())
+    file.write(Save((2, 1), None, (make_entry(2, first.chain, Left(("b",))),)), State())
     file.close()
     path = tmp_path / "keeper.log"
     path.write_bytes(path.read_bytes()[:-3])
@@ -357,11 +388,11 @@
     assert found.promised == (1, 0) and [e.number for e in found.entries or []] == [1] and torn > 0
 
 
-def test_a_long_log_is_replaced_by_what_it_comes_to(tmp_path: Path) -> None:
+def test_a_long_log_file_is_replaced_by_a_snapshot(tmp_path: Path) -> None:
     file, state = LogFile(tmp_path, 300), State()
     file.load()
     for number in range(20):
-        made = entry(number + 1, state.chain, Left((f"x{number}",)))
+        made = make_entry(number + 1, state.chain, Left((f"x{number}",)))
         state.apply(made)
         file.write(Save((1, 0), None, (made,)), state)
     assert file.replaced and file.size < 1000
@@ -369,42 +400,43 @@
     assert Keeper(0, 3, found, 1, 0.0).state.number == 20
 
 
-# ---- the module
+# ---- the admission module
 
 
-def test_another_part_of_the_quota_is_never_handed_out_twice() -> None:
+def test_a_change_of_the_gateway_count_never_grants_quota_twice() -> None:
     one = Plan(rate=10, burst=30)
-    gate = gateway(plans=(one,), gateways=3, index=0)
+    module = gateway(plans=(one,), gateways=3, index=0)
     for number in range(12):
-        gate.handle(START, request(number, customer=1, width=9))
-    customer = gate.customers[1]
+        module.handle(START, request(number, customer=1, width=9))
+    customer = module.customers[1]
     left = customer.tokens
     assert left < 5
-    gate.handle(START, SettingsChanged(settings(plans=(one,), gateways=2, index=0)))
-    gate.handle(START, request(90, customer=1, width=9))
-    assert customer.even == 0.5 and customer.tokens <= left  # it grew empty
-    gate.handle(START, request(91, customer=2, width=9))  # unseen: others may have had what this part grew by
-    assert gate.customers[2].tokens <= 30 / 3
-    gate.handle(START, SettingsChanged(settings(plans=(one,), gateways=10, index=0)))
-    gate.handle(START, request(92, customer=2, width=99))
-    assert gate.customers[2].tokens <= 30 / 10
-
-
-def test_a_newcomer_begins_empty_and_fills_at_its_rate() -> None:
+    module.handle(START, SettingsChanged(settings(plans=(one,), gateways=2, index=0)))
+    module.handle(START, request(90, customer=1, width=9))
+    assert customer.even == 0.5 and customer.tokens <= left  # the added part of the bucket is empty
+    # a customer that is new here: other gateways may have spent the added part
+    module.handle(START, request(91, customer=2, width=9))
+    assert module.customers[2].tokens <= 30 / 3
+    module.handle(START, SettingsChanged(settings(plans=(one,), gateways=10, index=0)))
+    module.handle(START, request(92, customer=2, width=99))
+    assert module.customers[2].tokens <= 30 / 10
+
+
+def test_the_buckets_of_a_new_gateway_start_empty_and_fill_at_their_rate() -> None:
     one = Plan(rate=10, burst=30)
-    gate = gateway(plans=(one,), gateways=5, index=4)
-    gate.handle(START, SettingsChanged(settings(plans=(one,), gateways=5, index=4), True))
-    refused = gate.handle(START, request(1, customer=1, width=5))
-    assert gate.customers[1].tokens < 0.01 and not any(isinstance(a, SendOn) for a in refused)
+    module = gateway(plans=(one,), gateways=5, index=4)
+    module.handle(START, SettingsChanged(settings(plans=(one,), gateways=5, index=4), True))
+    refused = module.handle(START, request(1, customer=1, width=5))
+    assert module.customers[1].tokens < 0.01 and not any(isinstance(a, SendOn) for a in refused)
     assert isinstance(refused[-1], Refuse)
-    assert any(isinstance(a, SendOn) for a in gate.handle(START + 3000, request(2, customer=1, width=5)))
+    assert any(isinstance(a, SendOn) for a in module.handle(START + 3000, request(2, customer=1, width=5)))
 
 
 # ---- bad input
 
 
 @pytest.mark.parametrize(
-    ("words", "text", "said"),
+    ("arguments", "text", "message"),
     [
         (["keeper", "FILE"], "me: 3\nkeepers: ['127.0.0.1:1']\nstate_dir: x\nkey: y\n", "me: 3 is not below"),
         (
@@ -431,12 +463,14 @@
         ),
     ],
 )
-def test_bad_input_is_one_line(tmp_path: Path, words: list[str], text: str, said: str) -> None:
+def test_bad_input_is_reported_in_one_line(
+    tmp_path: Path, arguments: list[str], text: str, message: str
+) -> None:
     file = tmp_path / "file.yaml"
     make_pair(tmp_path / "fleet")
     file.write_text(
         text.replace("KEY", str(tmp_path / "fleet.key")).replace("state_dir: x", f"state_dir: {tmp_path}/x")
     )
-    result = CliRunner().invoke(cli, [str(file) if w == "FILE" else w for w in words])
-    assert isinstance(result.exception, ValueError) and said in str(result.exception)
+    result = CliRunner().invoke(cli, [str(file) if a == "FILE" else a for a in arguments])
+    assert isinstance(result.exception, ValueError) and message in str(result.exception)
     assert "\n" not in str(result.exception)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -16,7 +16,7 @@
 from gevent import subprocess
 
 from tamarindfold.agreement import wire
-from tamarindfold.agreement.operator import NoAnswer
+from tamarindfold.agreement.operator_client import NoAnswer
 from tamarindfold.rehearsal.agreed import DOCUMENT, AgreedFleet
 from tamarindfold.rehearsal.relay import LinkFault
 
@@ -102,7 +102,7 @@
     f.keepers.heal()
     again = f.propose()
     f.keepers.until(lambda: f.shows(0, again))
-    assert [n.became for n in f.keepers.look().notes] == ["in force"] * 3
+    assert [n.status for n in f.keepers.look().history] == ["in force"] * 3
 
 
 def test_a_minority_commits_nothing(fleet: Any) -> None:
@@ -133,7 +133,7 @@
     f.keepers.restart((2,))
     f.keepers.until(lambda: f.keepers.leader() >= 0)
     state = f.keepers.look()
-    assert state.version == version and [n.version for n in state.notes] == [1, 2]
+    assert state.version == version and [n.version for n in state.history] == [1, 2]
     f.keepers.until(lambda: f.shows(0, f.propose()))
 
 
@@ -192,7 +192,7 @@
     again = f.keepers.propose(f.document, 2, token="once")
     assert first.version == again.version == 3
     f.keepers.in_force(3)
-    assert [n.version for n in f.keepers.look().notes] == [1, 2, 3]
+    assert [n.version for n in f.keepers.look().history] == [1, 2, 3]
 
 
 def test_five_changes_in_a_row_come_in_force_in_order(fleet: Any) -> None:
@@ -201,7 +201,7 @@
         f.propose(wait=False, plans=[{"name": "corner", "rate": rate, "burst": 20}])
     f.keepers.in_force(6)
     f.keepers.until(lambda: f.all_show(6))
-    assert [n.became for n in f.keepers.look().notes] == ["in force"] * 6
+    assert [n.status for n in f.keepers.look().history] == ["in force"] * 6
     assert not f.contradictions().breaches
 
 
@@ -210,9 +210,9 @@
     f = fleet(instances=2, local={1: {"limits": {"answer_margin_ms": 900}}})
     classes = [DOCUMENT["classes"][0] | {"deadline_ms": 800}]
     told = f.keepers.propose(f.document | {"classes": classes})
-    f.keepers.until(lambda: f.keepers.look().notes[-1].became != "pending")
-    note = f.keepers.look().notes[-1]
-    assert note.became.startswith("dropped: i1: classes[0].deadline_ms") and f.keepers.look().version == 1
+    f.keepers.until(lambda: f.keepers.look().history[-1].status != "pending")
+    note = f.keepers.look().history[-1]
+    assert note.status.startswith("dropped: i1: classes[0].deadline_ms") and f.keepers.look().version == 1
     forced = f.keepers.tell("force", told.version)
     assert forced.version == 3
     f.keepers.in_force(forced.version)
@@ -241,7 +241,7 @@
     f = fleet(instances=3)
     f.kill(1)
     f.begin((1,))
-    f.keepers.until(lambda: not f.keepers.look().dirty)
+    f.keepers.until(lambda: not f.keepers.look().unsettled_number)
     state = f.keepers.look()
     assert len(state.members) == 3 and not state.held and state.share == pytest.approx(1 / 3)
     assert f.leave(0) == 0
@@ -308,7 +308,7 @@
     plain = msgspec.structs.replace(
         state.document, classes=[msgspec.structs.replace(state.document.classes[0], aim_ms=700.0)]
     )
-    told = f.keepers.say(wire.Propose(plain, 1, "ann", "a trial", "trial", ("i1",)))
+    told = f.keepers.say(wire.Proposal(plain, 1, "ann", "a trial", "trial", ("i1",)))
     f.keepers.until(lambda: f.keepers.look().phase == "first")
     assert f.keepers.look().version == 1 and told.version == 2
     assert f.keepers.tell("widen", 2).version == 2
