--- a/benchmarks/identity.py
+++ b/benchmarks/identity.py
@@ -20,14 +20,14 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from tamarindfold.identity import files
-from tamarindfold.identity.driver import Identity
+from tamarindfold.identity.driver import RegistryClient
 from tamarindfold.identity.history import History
 from tamarindfold.identity.model import AddCustomer, CredentialRow, DefinePlan, Issue, PlanFigures, SetPlan
 from tamarindfold.identity.store import Store
 from tamarindfold.identity.tables import Snapshot, Tables
-from tamarindfold.identity.wire import read, write
+from tamarindfold.identity.wire import decode_update, encode_update
 from tamarindfold.ingress.clock import SteadyClock
-from tamarindfold.registry.server import Registry
+from tamarindfold.registry.server import RegistryServer
 
 BASE = [
     DefinePlan("small", PlanFigures(5, 10)),
@@ -97,7 +97,7 @@
 
     ticker = gevent.spawn(tick)
     gevent.sleep(0.01)
-    body, _ = gevent.get_hub().threadpool.apply(read, (envelope, key))
+    body, _ = gevent.get_hub().threadpool.apply(decode_update, (envelope, key))
     Tables(body)
     gevent.sleep(0.01)
     done = True
@@ -108,9 +108,9 @@
 def one_size(count: int) -> dict[str, float]:
     key = Ed25519PrivateKey.generate()
     made = filled(count)
-    envelope = write(made.whole(), 0.0, key)
+    envelope = encode_update(made.snapshot(), 0.0, key)
     began = time.perf_counter()
-    body, _ = read(envelope, key.public_key())
+    body, _ = decode_update(envelope, key.public_key())
     read_ms = (time.perf_counter() - began) * 1000
     assert isinstance(body, Snapshot)
     began = time.perf_counter()
@@ -122,8 +122,9 @@
     table_ns, dict_ns = look_ups(tables.credential, wanted), look_ups(plain.get, wanted)
     row_ns = look_ups(tables.keys.find, wanted)
     made.extend(SetPlan("anna", "large", 1, 1.0), 0.0, 1)
-    delta, _ = read(
-        write(made.since(1, made.state.version - 1, made.chains[-2], False), 0.0, key), key.public_key()
+    delta, _ = decode_update(
+        encode_update(made.since(1, made.state.version - 1, made.chains[-2], False), 0.0, key),
+        key.public_key(),
     )
     began = time.perf_counter()
     tables.apply(delta)  # type: ignore[arg-type]
@@ -148,14 +149,14 @@
     clock = SteadyClock().now
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "r.db"
-        files.make(path)
+        files.create_all(path)
         store = Store(path, create=True)
         store.commit(BASE, 0.0)
-        registry = Registry(Store(path), files.private_key(path), "127.0.0.1", 0, lambda *_, **__: None)
+        registry = RegistryServer(Store(path), files.private_key(path), "127.0.0.1", 0, lambda *_, **__: None)
         host, _, port = registry.start().rpartition(":")
         public, pepper = files.public_key(files.public_path(path)), files.pepper(files.pepper_path(path))
         followers = [
-            Identity(
+            RegistryClient(
                 (host, int(port)),
                 public,
                 pepper,
--- a/tamarindfold/agreement/wire.py
+++ b/tamarindfold/agreement/wire.py
@@ -18,7 +18,7 @@
 from tamarindfold.agreement.consensus import KeeperMessage
 from tamarindfold.agreement.document import Document
 from tamarindfold.agreement.reports import Report
-from tamarindfold.identity.wire import BadUpdate, seal, unseal
+from tamarindfold.identity.wire import BadUpdate, sign_envelope, open_envelope
 
 PURPOSE_PREFIX = b"tamarindfold agreement 1:"
 BODY_BYTES = 16 << 20  # largest message
@@ -78,13 +78,13 @@
 
 def pack(body: Struct, key: Ed25519PrivateKey, purpose: str = "") -> bytes:
     """Encode a message and sign it, together with the purpose that it is meant for."""
-    return seal(msgspec.msgpack.encode(body), key, PURPOSE_PREFIX + purpose.encode())
+    return sign_envelope(msgspec.msgpack.encode(body), key, PURPOSE_PREFIX + purpose.encode())
 
 
 def unpack(data: bytes, kind: type[T], key: Ed25519PublicKey, purpose: str = "") -> T:
     """Verify and decode a signed message. Raises BadUpdate if signature, purpose or content is wrong."""
     try:
-        return msgspec.msgpack.decode(unseal(data, key, PURPOSE_PREFIX + purpose.encode()), type=kind)
+        return msgspec.msgpack.decode(open_envelope(data, key, PURPOSE_PREFIX + purpose.encode()), type=kind)
     except msgspec.MsgspecError as error:
         raise BadUpdate(f"not a {kind.__name__}: {error}") from None
 
--- a/tamarindfold/cli/keys.py
+++ b/tamarindfold/cli/keys.py
@@ -28,7 +28,7 @@
     SetNetworks,
     SetPlan,
 )
-from tamarindfold.identity.state import Refused
+from tamarindfold.identity.state import InvalidChange
 from tamarindfold.identity.store import Store, StoreError
 
 LEAD = "2s"  # a change at a stated instant reaches all gateways before it is in force
@@ -79,7 +79,7 @@
     store = _opened(context)
     try:
         version = store.commit(make(store), time.time() * 1000)
-    except (Refused, StoreError) as error:
+    except (InvalidChange, StoreError) as error:
         raise ConfigError(str(error)) from error
     finally:
         store.close()
@@ -101,7 +101,7 @@
     if store.exists():
         raise ConfigError(f"{store}: is there already")
     try:
-        files.make(store)
+        files.create_all(store)
         Store(store, create=True).close()
     except (OSError, StoreError) as error:
         raise ConfigError(str(error)) from error
@@ -129,11 +129,11 @@
         state = store.history.state
         known = [row for row in state.plans if row.plan == name]
         changes: list[AnyChange] = [DefinePlan(name, msgspec.convert(figures, PlanFigures))]
-        places = {state.places[row.plan, row.version] for row in known}
+        places = {state.plan_indexes[row.plan, row.version] for row in known}
         if move_all:
             changes += [
                 SetPlan(row.name, name, len(known) + 1, at)
-                for row in state.by_number
+                for row in state.customers_by_number
                 if row.plan_at(at) in places
             ]
         return changes
@@ -173,12 +173,12 @@
 
 
 def _new_key(store: Path, customer: str, from_ms: float, note: str) -> tuple[Issue, str]:
-    name, text = keys.make()
+    name, text = keys.generate()
     try:
         pepper = files.pepper(files.pepper_path(store))
     except (OSError, ValueError) as error:
         raise ConfigError(f"pepper: {error}") from error
-    digest = keys.digest(pepper, keys.read(text)[1])
+    digest = keys.digest(pepper, keys.parse(text)[1])
     return Issue(keys.label(name), "key", name, digest, customer, from_ms, note), text
 
 
@@ -191,7 +191,7 @@
 def issue(context: click.Context, customer: str, client: str, from_ms: float | None, note: str) -> None:
     """Issue an API key, which is shown this once, or register an OAuth client."""
     if client:
-        name, digest = keys.client_name(client)
+        name, digest = keys.hash_client_id(client)
         made = Issue(client, "client", name, digest, customer, from_ms or 0.0, note)
         return _commit(context, lambda _: [made])
     change, text = _new_key(context.obj, customer, from_ms or 0.0, note)
@@ -214,8 +214,8 @@
         state = store.history.state
         row = state.credentials.get(credential)
         if row is None or row.kind != "key":
-            raise Refused(f"no key {credential}")
-        owner = state.by_number[row.customer_at(time.time() * 1000) - 1].name
+            raise InvalidChange(f"no key {credential}")
+        owner = state.customers_by_number[row.customer_at(time.time() * 1000) - 1].name
         change, text = _new_key(context.obj, owner, 0.0, note or f"follows {credential}")
         return [change, Retire(credential, overlap)]
 
@@ -269,7 +269,7 @@
     state, now = _opened(context).history.state, time.time() * 1000
     if customer and customer not in state.customers:
         raise ConfigError(f"no customer {customer}")
-    for row in state.by_number:
+    for row in state.customers_by_number:
         if customer not in ("", row.name):
             continue
         plan_row = state.plans[row.plan_at(now)]
@@ -360,7 +360,7 @@
     if store.history.state.version:
         raise ConfigError(f"{context.obj}: not empty")
     try:
-        version = store.commit_log([(entry.change, entry.at_ms) for entry in entries])
-    except (Refused, StoreError) as error:
+        version = store.commit_entries([(entry.change, entry.at_ms) for entry in entries])
+    except (InvalidChange, StoreError) as error:
         raise ConfigError(f"{file}: {error}") from error
     click.echo(f"version {version}")
--- a/tamarindfold/cli/registry.py
+++ b/tamarindfold/cli/registry.py
@@ -19,10 +19,12 @@
     from tamarindfold.identity.files import private_key
     from tamarindfold.identity.store import Store, StoreError
     from tamarindfold.ingress.logs import logger
-    from tamarindfold.registry.server import Registry
+    from tamarindfold.registry.server import RegistryServer
 
     try:
-        made = Registry(Store(store), private_key(store), host, port, logger("info", program="registry"))
+        made = RegistryServer(
+            Store(store), private_key(store), host, port, logger("info", program="registry")
+        )
         where = made.start()
     except (StoreError, OSError, ValueError) as error:
         raise ConfigError(str(error)) from error
--- a/tamarindfold/cli/settings.py
+++ b/tamarindfold/cli/settings.py
@@ -85,14 +85,14 @@
 @click.option("--if-missing", is_flag=True, help="Leave keys that are there as they are.")
 def keys(path: Path, if_missing: bool) -> None:
     """Make the fleet's signing key PATH.key, for keepers and operators, and PATH.pub, for instances."""
-    from tamarindfold.identity.files import make_pair, private_path, public_path
+    from tamarindfold.identity.files import create_key_pair, private_path, public_path
 
     if if_missing and private_path(path).exists() and public_path(path).exists():
         click.echo(f"{private_path(path)} and {public_path(path)} are there")
         return
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
-        make_pair(path)
+        create_key_pair(path)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from error
     click.echo(f"{private_path(path)} and {public_path(path)}")
--- a/tamarindfold/identity/__init__.py
+++ b/tamarindfold/identity/__init__.py
@@ -1,1 +1,1 @@
-"""Who a request belongs to: credentials, customers and plans, through rotations and changes."""
+"""API keys, OAuth clients, customers and plans: the registry's data model, storage and replication."""
--- a/tamarindfold/identity/confirm.py
+++ b/tamarindfold/identity/confirm.py
@@ -1,8 +1,8 @@
-"""Decides when the registry is asked again about credentials that are not known here. No I/O, no clock.
+"""Decides when to query the registry about credentials that this instance does not know. No I/O, no clock.
 
-A store may use a new key before this instance has heard of it. So an unknown one is not refused until the
-registry has answered a question that was put after the request came: one question for all that wait, one at
-a time, however many unknown keys come.
+A store may use a new key before this instance has received it. An unknown credential is therefore refused
+only after the registry has answered a query that was sent after the request arrived. One query serves all
+requests that wait, and at most one is in flight, however many unknown credentials arrive.
 """
 
 from __future__ import annotations
@@ -11,41 +11,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
-    """Put the question now."""
+class SendQuery:
+    """Action: query the registry now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
-    """The waiters of this round are served; good: the registry answered."""
+class ReleaseWaiters:
+    """Action: resume the requests that wait for this round; succeeded: the registry answered."""
 
     round: int
-    good: bool
+    succeeded: bool
 
 
 class Confirmations:
-    """Rounds of questions; a waiter belongs to the first round that is put after it came."""
+    """Numbered rounds of queries; a request waits for the first round whose query starts after it arrived."""
 
     def __init__(self) -> None:
-        self.round = 0  # the one in flight, or the last
+        self.round = 0  # the one in flight, or else the last
         self.in_flight = False
-        self.wanted = False  # somebody waits for the round after it
+        self.next_round_needed = False  # a request waits for the round after the one in flight
 
-    def wait(self) -> tuple[int, list[Put]]:
-        """Somebody needs to know: the round to wait for, and what to do now."""
+    def join_round(self) -> tuple[int, list[SendQuery]]:
+        """Return the round that a request has to wait for, and the actions to take now."""
         if self.in_flight:
-            self.wanted = True
+            self.next_round_needed = True
             return self.round + 1, []
         self.round += 1
         self.in_flight = True
-        return self.round, [Put()]
+        return self.round, [SendQuery()]
 
-    def answered(self, good: bool) -> list[Release | Put]:
-        """The question in flight was answered, or failed."""
-        done: list[Release | Put] = [Release(self.round, good)]
+    def answered(self, succeeded: bool) -> list[ReleaseWaiters | SendQuery]:
+        """Record that the query in flight was answered or failed; return the actions to take."""
+        actions: list[ReleaseWaiters | SendQuery] = [ReleaseWaiters(self.round, succeeded)]
         self.in_flight = False
-        if self.wanted:
-            self.wanted, self.in_flight = False, True
+        if self.next_round_needed:
+            self.next_round_needed, self.in_flight = False, True
             self.round += 1
-            done.append(Put())
-        return done
+            actions.append(SendQuery())
+        return actions
--- a/tamarindfold/identity/files.py
+++ b/tamarindfold/identity/files.py
@@ -1,4 +1,4 @@
-"""The files beside a store: the registry's signing key, its public half, and the pepper of the hashes."""
+"""The files next to a store: the registry's signing key, its public key, and the pepper of the key hashes."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 PEPPER_BYTES = 32
 
 
-def _beside(store: Path, kind: str) -> Path:
-    return store.with_name(store.name + kind)
+def _path_with_suffix(store: Path, suffix: str) -> Path:
+    return store.with_name(store.name + suffix)
 
 
 def private_path(store: Path) -> Path:
-    """Where the signing key is; only the registry reads it."""
-    return _beside(store, ".key")
+    """Return the path of the signing key, which only the registry reads."""
+    return _path_with_suffix(store, ".key")
 
 
 def public_path(store: Path) -> Path:
-    """Where its public half is; gateways need it."""
-    return _beside(store, ".pub")
+    """Return the path of the public key, which gateways need."""
+    return _path_with_suffix(store, ".pub")
 
 
 def pepper_path(store: Path) -> Path:
-    """Where the pepper is; gateways and whoever issues keys need it."""
-    return _beside(store, ".pepper")
+    """Return the path of the pepper, which gateways and the issuer of keys need."""
+    return _path_with_suffix(store, ".pepper")
 
 
 def _write_new(path: Path, data: bytes, mode: int) -> None:
@@ -36,8 +36,8 @@
         file.write(data)
 
 
-def make_pair(store: Path) -> None:
-    """Make a signing key and its public half; OSError where one is there already."""
+def create_key_pair(store: Path) -> None:
+    """Create a signing key and its public key; OSError where one of the files exists."""
     key = Ed25519PrivateKey.generate()
     private = key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
@@ -49,19 +49,19 @@
     _write_new(public_path(store), public, 0o644)
 
 
-def make(store: Path) -> None:
-    """Make all three; OSError where one is there already."""
-    make_pair(store)
+def create_all(store: Path) -> None:
+    """Create both keys and the pepper; OSError where one of the files exists."""
+    create_key_pair(store)
     _write_new(pepper_path(store), secrets.token_bytes(PEPPER_BYTES), 0o600)
 
 
 def private_key(store: Path) -> Ed25519PrivateKey:
-    """The signing key of a store; ValueError where the file holds none."""
+    """Load the signing key of a store; ValueError where the file holds no Ed25519 key."""
     return signing_key(private_path(store))
 
 
 def signing_key(path: Path) -> Ed25519PrivateKey:
-    """A signing key; ValueError where the file holds none."""
+    """Load a signing key; ValueError where the file holds no Ed25519 key."""
     key = serialization.load_pem_private_key(path.read_bytes(), None)
     if not isinstance(key, Ed25519PrivateKey):
         raise ValueError(f"{path}: not an Ed25519 key")
@@ -69,7 +69,7 @@
 
 
 def public_key(path: Path) -> Ed25519PublicKey:
-    """A public key; ValueError where the file holds none."""
+    """Load a public key; ValueError where the file holds no Ed25519 key."""
     key = serialization.load_pem_public_key(path.read_bytes())
     if not isinstance(key, Ed25519PublicKey):
         raise ValueError(f"{path}: not an Ed25519 key")
@@ -77,7 +77,7 @@
 
 
 def pepper(path: Path) -> bytes:
-    """The pepper; ValueError where the file is too short for one."""
+    """Load the pepper; ValueError where the file is too short."""
     data = path.read_bytes()
     if len(data) < PEPPER_BYTES:
         raise ValueError(f"{path}: shorter than {PEPPER_BYTES} bytes")
--- a/tamarindfold/identity/follower.py
+++ b/tamarindfold/identity/follower.py
@@ -1,8 +1,8 @@
-"""Decides what an instance does with what the registry sends. No I/O, no clock.
+"""Decides which of the registry's updates an instance applies, and what to request next. No I/O, no clock.
 
-A delta is applied only where it follows on the version held; anything else means a fresh snapshot, never a
-guess. Versions that go back within an epoch are refused: the registry was restored from an old backup, and
-what is held is newer. Only a higher epoch, which an operator sets, is followed backward.
+A delta is applied only where it follows on from the version held; otherwise a new snapshot is requested.
+Within an epoch, updates to an older version are rejected: the registry was restored from an old backup, and
+the data held are newer. Only a higher epoch, which an operator sets, may lead back to an older version.
 """
 
 from __future__ import annotations
@@ -12,63 +12,72 @@
 from tamarindfold.identity.tables import BadTables, Delta, Snapshot, Tables
 from tamarindfold.identity.wire import Body, Unchanged
 
-BESIDE_PART = 0.1  # of the snapshot's rows: with more changed rows beside it, a fresh one is asked for
-BESIDE_LEAST = 10_000
+# A new snapshot is requested once the overlay of changed rows is larger than both limits.
+MAX_OVERLAY_FRACTION = 0.1  # of the snapshot's credentials
+MAX_OVERLAY_ROWS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Ask for what came after this version, -1: nothing is held; whole: for a snapshot all the same."""
+class UpdateRequest:
+    """A request for the changes after a version; after -1: nothing is held.
+
+    chain: the hash chain's prefix at that version. want_snapshot: request a snapshot even where a delta
+    would do.
+    """
 
     epoch: int
     after: int
     chain: int = 0
-    whole: bool = False
+    want_snapshot: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """Something new is in force: to be saved where `whole`."""
+    """The update was applied; it came as a snapshot or as a delta."""
 
     version: int
-    whole: bool
+    is_snapshot: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Current:
-    """Nothing new; what is held was good when this was made."""
+class UpToDate:
+    """The update holds nothing new and confirms that the data held were current when it was made."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """What came is not used, and why."""
+    """The update was not applied; rolled_back: the registry is behind the data held or has diverged."""
 
     reason: str
-    went_back: bool = False
+    rolled_back: bool = False
 
 
-Result = Applied | Current | Rejected
+Result = Applied | UpToDate | Rejected
 
 
 class Follower:
-    """Holds the tables of one instance."""
+    """Holds one instance's tables and keeps them up to date."""
 
     def __init__(self) -> None:
         self.tables: Tables | None = None
-        self.heard_ms = 0.0  # when the registry made the last word that was taken
+        self.last_update_made_ms = 0.0  # registry's time of the last update that was not rejected
         self.want_snapshot = False
 
-    def ask(self) -> Ask:
-        """What to ask the registry for next."""
+    def next_request(self) -> UpdateRequest:
+        """Return what to request from the registry next."""
         held = self.tables
-        return Ask(0, -1) if held is None else Ask(held.epoch, held.version, held.chain, self.want_snapshot)
+        return (
+            UpdateRequest(0, -1)
+            if held is None
+            else UpdateRequest(held.epoch, held.version, held.chain, self.want_snapshot)
+        )
 
     def stale_ms(self, now_ms: float) -> float:
-        """How old what is held may be."""
-        return max(0.0, now_ms - self.heard_ms)
+        """Return the time since the data held were last known to be current."""
+        return max(0.0, now_ms - self.last_update_made_ms)
 
-    def take(self, body: Body, made_at_ms: float) -> Result:
-        """An update that was checked for its signature."""
+    def apply_update(self, body: Body, made_at_ms: float) -> Result:
+        """Apply an update whose signature has been verified."""
         match body:
             case Snapshot():
                 result = self._snapshot(body)
@@ -77,19 +86,19 @@
             case Unchanged():
                 result = self._unchanged(body)
         if not isinstance(result, Rejected):
-            self.heard_ms = max(self.heard_ms, made_at_ms)
+            self.last_update_made_ms = max(self.last_update_made_ms, made_at_ms)
         return result
 
-    def _older(self, epoch: int, version: int) -> bool:
+    def _is_older(self, epoch: int, version: int) -> bool:
         held = self.tables
         return held is not None and (epoch, version) < (held.epoch, held.version)
 
     def _snapshot(self, body: Snapshot) -> Result:
-        if self._older(body.epoch, body.version):
+        if self._is_older(body.epoch, body.version):
             self.want_snapshot = False
-            return Rejected(f"snapshot {body.epoch}.{body.version} is older than what is held", True)
+            return Rejected(f"snapshot {body.epoch}.{body.version} is older than the data held", True)
         try:
-            self.tables = Tables(body)  # made whole before it takes the place of the old one
+            self.tables = Tables(body)  # validated as a whole before it replaces the old tables
         except BadTables as error:
             self.want_snapshot = True
             return Rejected(str(error))
@@ -99,27 +108,27 @@
     def _delta(self, body: Delta) -> Result:
         if self.tables is None:
             self.want_snapshot = True
-            return Rejected("a delta, and nothing is held that it could follow on")
+            return Rejected("a delta was received before any snapshot")
         if body.epoch == self.tables.epoch and body.version <= self.tables.version:
-            return Current()  # crossed with an answer on the other connection
+            return UpToDate()  # a response on the other connection was faster
         try:
             self.tables.apply(body)
         except BadTables as error:
             self.want_snapshot = True
             return Rejected(str(error))
-        if self.tables.beside > max(BESIDE_LEAST, BESIDE_PART * self.tables.rows):
+        if self.tables.overlay_rows > max(MAX_OVERLAY_ROWS, MAX_OVERLAY_FRACTION * self.tables.rows):
             self.want_snapshot = True
         return Applied(body.version, False)
 
     def _unchanged(self, body: Unchanged) -> Result:
         held = self.tables
-        if body.other_past:
+        if body.diverged:
             return Rejected(
-                f"the registry at {body.epoch}.{body.version} has another past than what is held", True
+                f"the registry's history at {body.epoch}.{body.version} diverges from the data held", True
             )
         if held is None or (body.epoch, body.version) > (held.epoch, held.version):
             self.want_snapshot = True
-            return Rejected("the registry is further on than what is held")
+            return Rejected("the registry reported no change but is ahead of the data held")
         if (body.epoch, body.version) < (held.epoch, held.version):
-            return Rejected(f"the registry is at {body.epoch}.{body.version}, behind what is held", True)
-        return Current()
+            return Rejected(f"the registry is at {body.epoch}.{body.version}, behind the data held", True)
+        return UpToDate()
--- a/tamarindfold/identity/model.py
+++ b/tamarindfold/identity/model.py
@@ -1,17 +1,17 @@
-"""What the registry holds, and the changes that make it. Times are milliseconds since the epoch."""
+"""The registry's records and the changes that produce them. Times are milliseconds since the epoch."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 NEVER = math.inf
 
 
 class PlanFigures(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a version of a plan grants; see interface.Plan."""
+    """Quota and prices granted by one version of a plan; interface.Plan explains the fields."""
 
     rate: float
     burst: float
@@ -24,22 +24,22 @@
     ceiling_slack: float = 0.0
 
 
-# ---- changes: the registry's log is a list of these
+# ---- changes: the entries of the registry's log, stored under their class names
 
 
 class Change(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """One entry of the log."""
+    """Base class of all log entries."""
 
 
 class DefinePlan(Change, frozen=True):
-    """A new version of a plan, or its first."""
+    """Adds a plan, or a new version of an existing one."""
 
     plan: str
     figures: PlanFigures
 
 
 class AddCustomer(Change, frozen=True):
-    """A franchisee on a version of a plan; networks (CIDR) are where its stores call from."""
+    """Adds a customer on a version of a plan. Its stores call from these networks (CIDR)."""
 
     customer: str
     plan: str
@@ -48,14 +48,14 @@
 
 
 class SetNetworks(Change, frozen=True):
-    """Where a customer's stores call from, from now on."""
+    """Replaces the networks that a customer's stores call from."""
 
     customer: str
     networks: tuple[str, ...]
 
 
 class SetPlan(Change, frozen=True):
-    """A customer is on this version from this instant on."""
+    """Puts a customer on a version of a plan from `at_ms` on."""
 
     customer: str
     plan: str
@@ -64,11 +64,15 @@
 
 
 class Issue(Change, frozen=True):
-    """A new credential; kind is key or client."""
+    """Issues a credential to a customer.
+
+    credential: its label, unique in the registry. kind: "key" for an API key, "client" for an OAuth client.
+    digest: the hash by which a gateway verifies it.
+    """
 
     credential: str
     kind: str
-    name: int
+    credential_id: int = field(name="name")  # 64 bits; the index key of the gateways' tables
     digest: bytes
     customer: str
     from_ms: float = 0.0
@@ -76,14 +80,14 @@
 
 
 class Retire(Change, frozen=True):
-    """A credential ends at this instant; until then it is good."""
+    """Sets the time at which a credential expires; it stays valid until then."""
 
     credential: str
     ends_ms: float
 
 
 class Revoke(Change, frozen=True):
-    """A credential is no good from now on, whatever its end was."""
+    """Invalidates a credential at once, whatever its expiry time."""
 
     credential: str
     at_ms: float
@@ -91,7 +95,7 @@
 
 
 class Move(Change, frozen=True):
-    """A credential belongs to another customer from this instant on."""
+    """Transfers a credential to another customer from `at_ms` on."""
 
     credential: str
     customer: str
@@ -99,7 +103,10 @@
 
 
 class Adopt(Change, frozen=True):
-    """The store was restored: it speaks for itself from here on, even where followers had seen more."""
+    """Starts a new epoch after the store was restored from a backup.
+
+    From here on gateways follow this store, even those that hold later versions of the previous epoch.
+    """
 
     epoch: int
 
@@ -107,12 +114,12 @@
 AnyChange = DefinePlan | AddCustomer | SetNetworks | SetPlan | Issue | Retire | Revoke | Move | Adopt
 
 
-# ---- what they come to
+# ---- records
 
 
 @dataclass(slots=True)
 class PlanRow:
-    """A version of a plan; its place in the list is its number everywhere."""
+    """A version of a plan. Its index in the list of plans identifies it in all other records."""
 
     plan: str
     version: int
@@ -121,7 +128,7 @@
 
 @dataclass(slots=True)
 class CustomerRow:
-    """A customer: `plan` until `change_at_ms`, `next_plan` from then on; both places in the list of plans."""
+    """A customer, on `plan` until `change_at_ms` and on `next_plan` from then on (indexes of plans)."""
 
     number: int
     name: str
@@ -131,15 +138,18 @@
     networks: tuple[str, ...] = ()
 
     def plan_at(self, now_ms: float) -> int:
-        """The plan in force."""
+        """Return the index of the plan in force."""
         return self.next_plan if now_ms >= self.change_at_ms else self.plan
 
 
 @dataclass(slots=True)
 class CredentialRow:
-    """A credential: of `customer` (a number) until `moved_at_ms`, of `next_customer` from then on."""
+    """A credential, owned by `customer` until `moved_at_ms` and by `next_customer` from then on (numbers).
+
+    credential: its label, unique in the registry.
+    """
 
-    name: int
+    credential_id: int
     credential: str
     kind: str
     digest: bytes
@@ -153,11 +163,11 @@
     note: str = ""
 
     def customer_at(self, now_ms: float) -> int:
-        """Whose it is."""
+        """Return the number of the customer that owns it."""
         return self.next_customer if now_ms >= self.moved_at_ms else self.customer
 
     def state_at(self, now_ms: float) -> str:
-        """pending, active, retiring, ended or revoked."""
+        """Return pending, active, retiring, ended or revoked."""
         if self.revoked:
             return "revoked"
         if now_ms >= self.ends_ms:
--- a/tamarindfold/identity/resolve.py
+++ b/tamarindfold/identity/resolve.py
@@ -1,4 +1,4 @@
-"""Decides whose a request is at an instant, and under which plan. No I/O, no clock."""
+"""Resolves a credential to its customer and plan at a given time. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,26 +10,29 @@
 
 
 @dataclass(slots=True)
-class Known:
-    """Customer and plan in force, both as numbers, and until when the credential is good."""
+class ResolvedCredential:
+    """A valid credential's customer (number) and plan (index) in force, and when its validity ends."""
 
     customer: int
     plan: int
-    credential: int
+    credential_id: int
     until_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """Why a credential opens nothing."""
+    """Why a credential is not accepted."""
 
     reason: str
-    unknown: bool = False  # here; another instance, or the registry, may know it
+    unknown: bool = False  # not in this instance's tables, though the registry may already have it
 
 
-def _at(tables: Tables, row: Credential, now_ms: float, skew_ms: float) -> Known | Denied:
-    """The credential now. Its own validity is stretched by the clocks' difference, since a store told by one
-    clock must not be turned away by another; a revocation and a hand-over are not."""
+def _resolve(tables: Tables, row: Credential, now_ms: float, skew_ms: float) -> ResolvedCredential | Denied:
+    """Check a credential's validity and find its customer and plan.
+
+    The validity period is extended by the clock skew at both ends, so that a client whose clock differs from
+    this instance's is not refused. Revocations and transfers take effect without that tolerance.
+    """
     if row.flags & REVOKED:
         return Denied("the credential was revoked")
     if now_ms + skew_ms < row.from_ms:
@@ -43,33 +46,35 @@
     plan = owner.next_plan if now_ms >= owner.change_at_ms else owner.plan
     if plan >= len(tables.plans):
         return Denied("the customer's plan is not known here")
-    return Known(number, plan, row.name, row.ends_ms + skew_ms)
+    return ResolvedCredential(number, plan, row.credential_id, row.ends_ms + skew_ms)
 
 
-def by_key(tables: Tables, text: str, pepper: bytes, now_ms: float, skew_ms: float) -> Known | Denied:
-    """Whose an API key is."""
+def by_key(
+    tables: Tables, text: str, pepper: bytes, now_ms: float, skew_ms: float
+) -> ResolvedCredential | Denied:
+    """Resolve an API key."""
     try:
-        name, secret = keys.read(text)
+        key_id, secret = keys.parse(text)
     except keys.BadKey as error:
         return Denied(str(error))
-    row = tables.credential(name)
-    # the same work whether or not the name is known, and a comparison that does not tell where it differs
-    fits = hmac.compare_digest(keys.digest(pepper, secret), row.digest if row is not None else bytes(16))
-    if row is None or not fits:
+    row = tables.credential(key_id)
+    # Constant-time comparison, done also where the id is unknown: the time taken reveals nothing.
+    matches = hmac.compare_digest(keys.digest(pepper, secret), row.digest if row is not None else bytes(16))
+    if row is None or not matches:
         return Denied("no such credential", unknown=row is None)
-    return _at(tables, row, now_ms, skew_ms)
+    return _resolve(tables, row, now_ms, skew_ms)
 
 
-def by_client(tables: Tables, client_id: str, now_ms: float, skew_ms: float) -> Known | Denied:
-    """Whose an OAuth client is, by the name that introspection gives it."""
-    name, digest = keys.client_name(client_id)
-    row = tables.credential(name)
+def by_client(tables: Tables, client_id: str, now_ms: float, skew_ms: float) -> ResolvedCredential | Denied:
+    """Resolve an OAuth client by the client id that introspection reports."""
+    credential_id, digest = keys.hash_client_id(client_id)
+    row = tables.credential(credential_id)
     if row is None or row.digest != digest:
         return Denied("the token's client is not registered", unknown=row is None)
-    return _at(tables, row, now_ms, skew_ms)
+    return _resolve(tables, row, now_ms, skew_ms)
 
 
-def again(tables: Tables, known: Known, now_ms: float, skew_ms: float) -> bool:
-    """Whether a credential that was good is so still: for further attempts."""
-    row = tables.credential(known.credential)
-    return row is not None and isinstance(_at(tables, row, now_ms, skew_ms), Known)
+def is_still_valid(tables: Tables, resolved: ResolvedCredential, now_ms: float, skew_ms: float) -> bool:
+    """Whether a credential that was valid still is; checked before further attempts."""
+    row = tables.credential(resolved.credential_id)
+    return row is not None and isinstance(_resolve(tables, row, now_ms, skew_ms), ResolvedCredential)
--- a/tamarindfold/identity/copy.py
+++ b/tamarindfold/identity/saved_copy.py
@@ -1,6 +1,7 @@
-"""The durable copy of what an instance holds: a snapshot's envelope and those of the deltas after it.
+"""An instance's saved copy of the registry: the envelope of a snapshot, then those of the deltas after it.
 
-Each stands behind its length, so that a copy cut off by a crash is good up to its last whole envelope.
+Each envelope is preceded by its length, so that a file truncated by a crash is usable up to its last complete
+envelope.
 """
 
 from __future__ import annotations
@@ -12,13 +13,16 @@
 
 from tamarindfold.ds.durable import replace
 from tamarindfold.identity.follower import Follower, Rejected
-from tamarindfold.identity.wire import BadUpdate, read
+from tamarindfold.identity.wire import BadUpdate, decode_update
 
 LENGTH_BYTES = 4
 
 
 def load(path: Path, key: Ed25519PublicKey, follower: Follower) -> str:
-    """Bring a follower to what the file holds; what is wrong with the file, empty where nothing is."""
+    """Apply the file's updates to a follower up to the first fault.
+
+    Returns a description of the fault; empty where there is none or no file.
+    """
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -26,11 +30,11 @@
     at = 0
     while at < len(data):
         length = int.from_bytes(data[at : at + LENGTH_BYTES], "little")
-        whole = data[at + LENGTH_BYTES : at + LENGTH_BYTES + length]
-        if len(data) < at + LENGTH_BYTES or len(whole) < length:
-            return f"cut off at byte {at}"
+        envelope = data[at + LENGTH_BYTES : at + LENGTH_BYTES + length]
+        if len(data) < at + LENGTH_BYTES or len(envelope) < length:
+            return f"truncated at byte {at}"
         try:
-            result = follower.take(*read(whole, key))
+            result = follower.apply_update(*decode_update(envelope, key))
         except BadUpdate as error:
             return f"byte {at}: {error}"
         if isinstance(result, Rejected):
@@ -39,10 +43,10 @@
     return ""
 
 
-def save(path: Path, envelope: bytes, whole: bool) -> None:
-    """Keep one more envelope; a snapshot begins the file anew, and takes its place at once or not at all."""
+def save(path: Path, envelope: bytes, is_snapshot: bool) -> None:
+    """Replace the file atomically by a snapshot, or append a delta to it and sync it to disk."""
     data = len(envelope).to_bytes(LENGTH_BYTES, "little") + envelope
-    if whole:
+    if is_snapshot:
         replace(path, [data])
         return
     with open(path, "ab") as file:
--- a/tamarindfold/identity/tables.py
+++ b/tamarindfold/identity/tables.py
@@ -1,4 +1,4 @@
-"""What an instance holds: a snapshot in flat columns, and the rows that changed since beside it."""
+"""An instance's tables: a snapshot in flat columns, overlaid with the rows that changed since then."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 REVOKED = 1
 
 
-@dataclass(slots=True)  # made for each look-up: a frozen one takes three times as long
+@dataclass(
+    slots=True
+)  # not frozen: one is created for each look-up, and a frozen one takes three times as long
 class Credential:
-    """A credential as an instance needs it."""
+    """The part of a credential's record that instances need."""
 
-    name: int
+    credential_id: int
     digest: bytes
     customer: int
     next_customer: int
@@ -29,7 +31,7 @@
 
 @dataclass(slots=True)
 class Customer:
-    """A customer as an instance needs it; plans by their places in the list."""
+    """The part of a customer's record that instances need; plans are indexes into the list of plans."""
 
     number: int
     plan: int
@@ -39,7 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Columns:
-    """A snapshot's tables, little-endian: one column a member, rows in step."""
+    """A snapshot's tables, one little-endian column for each field.
+
+    The columns up to `flags` have one row for each credential, the others one row for each customer. `names`
+    holds the credential ids, `index` the hash table from id to row.
+    """
 
     names: bytes
     index: bytes
@@ -57,18 +63,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Everything at one version."""
+    """All plans, credentials and customers at one version."""
 
     epoch: int
     version: int
-    chain: int  # of the log at this version
+    chain: int  # prefix of the log's hash chain at this version
     plans: tuple[PlanRow, ...]
     columns: Columns
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """The rows that changed between two versions, and the plans that were added."""
+    """The rows that changed from version `after` to `version`, and the plans that were added."""
 
     epoch: int
     after: int
@@ -80,10 +86,10 @@
     customers: tuple[Customer, ...]
 
 
-def credential(row: CredentialRow) -> Credential:
-    """An instance's view of a credential."""
+def credential_entry(row: CredentialRow) -> Credential:
+    """Return the part of a credential's record that instances need."""
     return Credential(
-        row.name,
+        row.credential_id,
         row.digest,
         row.customer,
         row.next_customer,
@@ -94,62 +100,68 @@
     )
 
 
-def customer(row: CustomerRow) -> Customer:
-    """An instance's view of a customer."""
+def customer_entry(row: CustomerRow) -> Customer:
+    """Return the part of a customer's record that instances need."""
     return Customer(row.number, row.plan, row.next_plan, row.change_at_ms)
 
 
-def _column(code: str, values: Iterable[float]) -> bytes:
+def _encode_column(code: str, values: Iterable[float]) -> bytes:
     return array(code, values).tobytes()
 
 
-def snapshot(state: RegistryState, chain: int) -> Snapshot:
-    """Everything the state holds."""
-    rows, customers = list(state.credentials.values()), state.by_number
-    names, index = build(row.name for row in rows)
+def build_snapshot(state: RegistryState, chain: int) -> Snapshot:
+    """Build a snapshot of the registry's state."""
+    rows, customers = list(state.credentials.values()), state.customers_by_number
+    names, index = build(row.credential_id for row in rows)
     columns = Columns(
         names,
         index,
         b"".join(row.digest for row in rows),
-        _column("I", (row.customer for row in rows)),
-        _column("I", (row.next_customer for row in rows)),
-        _column("d", (row.moved_at_ms for row in rows)),
-        _column("d", (row.from_ms for row in rows)),
-        _column("d", (row.ends_ms for row in rows)),
+        _encode_column("I", (row.customer for row in rows)),
+        _encode_column("I", (row.next_customer for row in rows)),
+        _encode_column("d", (row.moved_at_ms for row in rows)),
+        _encode_column("d", (row.from_ms for row in rows)),
+        _encode_column("d", (row.ends_ms for row in rows)),
         bytes(REVOKED if row.revoked else 0 for row in rows),
-        _column("I", (row.plan for row in customers)),
-        _column("I", (row.next_plan for row in customers)),
-        _column("d", (row.change_at_ms for row in customers)),
+        _encode_column("I", (row.plan for row in customers)),
+        _encode_column("I", (row.next_plan for row in customers)),
+        _encode_column("d", (row.change_at_ms for row in customers)),
     )
     return Snapshot(state.epoch, state.version, chain, tuple(state.plans), columns)
 
 
 class BadTables(ValueError):
-    """Tables whose parts don't fit each other."""
+    """A snapshot or delta whose parts are inconsistent."""
 
 
 class Tables:
-    """The snapshot last applied and what came after it; replaced as a whole, never half."""
+    """The last snapshot applied and the rows changed since. A new snapshot needs a new object."""
 
-    def __init__(self, made: Snapshot) -> None:
-        """BadTables where columns have other lengths than they should; nothing of such a snapshot is used."""
-        self.epoch, self.version, self.chain = made.epoch, made.version, made.chain
-        self.plans = list(made.plans)
-        c = made.columns
+    def __init__(self, snapshot: Snapshot) -> None:
+        """BadTables where the columns' lengths are inconsistent."""
+        self.epoch, self.version, self.chain = snapshot.epoch, snapshot.version, snapshot.chain
+        self.plans = list(snapshot.plans)
+        columns = snapshot.columns
         try:
-            self.keys = KeyTable(c.names, c.index)
-            self.digests = c.digests
-            self.customers, self.next_customers = column(c.customers, "I"), column(c.next_customers, "I")
-            self.moved_at, self.from_ms = column(c.moved_at, "d"), column(c.from_ms, "d")
-            self.ends_ms, self.flags = column(c.ends_ms, "d"), c.flags
-            self.plan, self.next_plan = column(c.customer_plans, "I"), column(c.customer_next, "I")
-            self.change_at = column(c.customer_change, "d")
+            self.keys = KeyTable(columns.names, columns.index)
+            self.digests = columns.digests
+            self.customers, self.next_customers = (
+                column(columns.customers, "I"),
+                column(columns.next_customers, "I"),
+            )
+            self.moved_at, self.from_ms = column(columns.moved_at, "d"), column(columns.from_ms, "d")
+            self.ends_ms, self.flags = column(columns.ends_ms, "d"), columns.flags
+            self.plan, self.next_plan = (
+                column(columns.customer_plans, "I"),
+                column(columns.customer_next, "I"),
+            )
+            self.change_at = column(columns.customer_change, "d")
         except ValueError as error:
             raise BadTables(f"columns: {error}") from None
         rows, customers = len(self.keys), len(self.plan)
-        same = [
-            len(x)
-            for x in (
+        lengths = [
+            len(values)
+            for values in (
                 self.customers,
                 self.next_customers,
                 self.moved_at,
@@ -159,17 +171,20 @@
             )
         ]
         if (
-            same != [rows] * 6
+            lengths != [rows] * 6
             or len(self.digests) != 16 * rows
             or not (len(self.next_plan) == len(self.change_at) == customers)
         ):
             raise BadTables("columns of different lengths")
-        self.changed: dict[int, Credential] = {}
-        self.changed_customers: dict[int, Customer] = {}
+        self._changed_credentials: dict[int, Credential] = {}
+        self._changed_customers: dict[int, Customer] = {}
 
     def apply(self, delta: Delta) -> None:
-        """Take in a delta that reaches from this version or an earlier one to a later; its rows are whole, so
-        that what it repeats does no harm. BadTables leaves everything as it was."""
+        """Apply a delta that starts at this version or earlier and ends at a later one.
+
+        A delta has complete rows, so applying rows again that are held already is harmless. BadTables where
+        it does not follow on from this version or is inconsistent; the tables are then unchanged.
+        """
         new_plans = delta.plans[len(self.plans) - delta.plans_before :]
         if (
             delta.epoch != self.epoch
@@ -179,47 +194,47 @@
             raise BadTables(
                 f"a delta after {delta.epoch}.{delta.after} does not follow on {self.epoch}.{self.version}"
             )
-        most = len(self.plans) + len(new_plans)
-        if any(max(row.plan, row.next_plan) >= most for row in delta.customers):
-            raise BadTables("a customer on a plan that is not there")
+        plan_count = len(self.plans) + len(new_plans)
+        if any(max(row.plan, row.next_plan) >= plan_count for row in delta.customers):
+            raise BadTables("a customer on an unknown plan")
         self.plans += new_plans
-        self.changed |= {row.name: row for row in delta.credentials}
-        self.changed_customers |= {row.number: row for row in delta.customers}
+        self._changed_credentials |= {row.credential_id: row for row in delta.credentials}
+        self._changed_customers |= {row.number: row for row in delta.customers}
         self.version, self.chain = delta.version, delta.chain
 
-    def credential(self, name: int) -> Credential | None:
-        """A credential by its name."""
-        if self.changed and (row := self.changed.get(name)) is not None:
+    def credential(self, credential_id: int) -> Credential | None:
+        """Return a credential by its id."""
+        if self._changed_credentials and (row := self._changed_credentials.get(credential_id)) is not None:
             return row
-        at = self.keys.find(name)
-        if at < 0:
+        index = self.keys.find(credential_id)
+        if index < 0:
             return None
         return Credential(
-            name,
-            self.digests[16 * at : 16 * at + 16],
-            self.customers[at],
-            self.next_customers[at],
-            self.moved_at[at],
-            self.from_ms[at],
-            self.ends_ms[at],
-            self.flags[at],
+            credential_id,
+            self.digests[16 * index : 16 * index + 16],
+            self.customers[index],
+            self.next_customers[index],
+            self.moved_at[index],
+            self.from_ms[index],
+            self.ends_ms[index],
+            self.flags[index],
         )
 
     def customer(self, number: int) -> Customer | None:
-        """A customer by its number."""
-        if self.changed_customers and (row := self.changed_customers.get(number)) is not None:
+        """Return a customer by its number."""
+        if self._changed_customers and (row := self._changed_customers.get(number)) is not None:
             return row
-        at = number - 1
-        if not 0 <= at < len(self.plan):
+        index = number - 1
+        if not 0 <= index < len(self.plan):
             return None
-        return Customer(number, self.plan[at], self.next_plan[at], self.change_at[at])
+        return Customer(number, self.plan[index], self.next_plan[index], self.change_at[index])
 
     @property
-    def beside(self) -> int:
-        """How many rows stand beside the snapshot."""
-        return len(self.changed) + len(self.changed_customers)
+    def overlay_rows(self) -> int:
+        """The number of rows that changed since the snapshot."""
+        return len(self._changed_credentials) + len(self._changed_customers)
 
     @property
     def rows(self) -> int:
-        """How many credentials the snapshot holds. Not a length: tables without any are not nothing."""
+        """The number of credentials in the snapshot. Not `__len__`: empty tables must not be falsy."""
         return len(self.keys)
--- a/tamarindfold/identity/wire.py
+++ b/tamarindfold/identity/wire.py
@@ -1,4 +1,4 @@
-"""Snapshots and changes as signed protobuf messages."""
+"""Encodes snapshots and deltas as signed protobuf messages."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 from tamarindfold.identity.tables import Columns, Credential, Customer, Delta, Snapshot
 
 CHECKSUM_BYTES = 32
-SIGNED = b"tamarindfold update 1:"  # signed with the checksum: a large snapshot is gone through once only
+# Signed together with the checksum instead of the data, so that a large snapshot is hashed only once.
+UPDATE_PURPOSE = b"tamarindfold update 1:"
 
 
 class BadUpdate(ValueError):
-    """Bytes that are no update of this registry: truncated, altered, or signed by another."""
+    """Bytes that are not a valid update: malformed, truncated, altered or signed with another key."""
 
 
 class Unchanged:
-    """Nothing new: the registry is at this version."""
+    """The registry's version, sent where there is nothing new for the follower."""
 
-    __slots__ = ("epoch", "other_past", "version")
+    __slots__ = ("diverged", "epoch", "version")
 
-    def __init__(self, epoch: int, version: int, other_past: bool = False) -> None:
-        """other_past: what the follower holds is not of this registry's past."""
-        self.epoch, self.version, self.other_past = epoch, version, other_past
+    def __init__(self, epoch: int, version: int, diverged: bool = False) -> None:
+        """diverged: the follower's version is not in this registry's history (`other_past` on the wire)."""
+        self.epoch, self.version, self.diverged = epoch, version, diverged
 
 
 Body = Snapshot | Delta | Unchanged
 
 _FIGURES = PlanFigures.__struct_fields__
-_COLUMNS = {
+_COLUMNS = {  # field of Columns: field of the protobuf message
     "names": "names",
     "index": "index",
     "digests": "digests",
@@ -49,39 +50,42 @@
 }
 
 
-def _plan(row: PlanRow) -> pb.Plan:
+def _encode_plan(row: PlanRow) -> pb.Plan:
     figures = {name: getattr(row.figures, name) for name in _FIGURES}
     return pb.Plan(name=row.plan, version=row.version, **figures)
 
 
-def _plan_row(plan: pb.Plan) -> PlanRow:
+def _decode_plan(plan: pb.Plan) -> PlanRow:
     return PlanRow(plan.name, plan.version, PlanFigures(**{name: getattr(plan, name) for name in _FIGURES}))
 
 
-def seal(data: bytes, key: Ed25519PrivateKey, purpose: bytes) -> bytes:
-    """Data in a signed envelope; the purpose is signed too, so that no envelope passes for another kind."""
+def sign_envelope(data: bytes, key: Ed25519PrivateKey, purpose: bytes) -> bytes:
+    """Wrap data in a signed envelope.
+
+    The purpose is signed too, so that an envelope made for one purpose is not accepted for another.
+    """
     checksum = hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).digest()
     return pb.Envelope(
         update=data, checksum=checksum, signature=key.sign(purpose + checksum)
     ).SerializeToString()
 
 
-def unseal(data: bytes, key: Ed25519PublicKey, purpose: bytes) -> bytes:
-    """What an envelope holds; BadUpdate where anything about it is wrong."""
+def open_envelope(data: bytes, key: Ed25519PublicKey, purpose: bytes) -> bytes:
+    """Verify an envelope and return its data; BadUpdate where it is malformed or its signature is wrong."""
     try:
         envelope = pb.Envelope.FromString(data)
         if hashlib.blake2b(envelope.update, digest_size=CHECKSUM_BYTES).digest() != envelope.checksum:
-            raise BadUpdate("the checksum does not fit: truncated or corrupted")
+            raise BadUpdate("the checksum does not match: truncated or corrupted")
         key.verify(envelope.signature, purpose + envelope.checksum)
     except DecodeError as error:
         raise BadUpdate(f"not an envelope: {error}") from None
     except InvalidSignature:
-        raise BadUpdate("signed by another key") from None
+        raise BadUpdate("signed with another key") from None
     return bytes(envelope.update)
 
 
-def write(body: Body, made_at_ms: float, key: Ed25519PrivateKey) -> bytes:
-    """An update as an envelope."""
+def encode_update(body: Body, made_at_ms: float, key: Ed25519PrivateKey) -> bytes:
+    """Encode an update and wrap it in a signed envelope."""
     update = pb.Update(made_at_ms=made_at_ms)
     match body:
         case Snapshot():
@@ -90,8 +94,8 @@
                     epoch=body.epoch,
                     version=body.version,
                     chain=body.chain,
-                    plans=[_plan(row) for row in body.plans],
-                    **{sent: getattr(body.columns, ours) for ours, sent in _COLUMNS.items()},
+                    plans=[_encode_plan(row) for row in body.plans],
+                    **{wire_name: getattr(body.columns, name) for name, wire_name in _COLUMNS.items()},
                 )
             )
         case Delta():
@@ -102,10 +106,10 @@
                     version=body.version,
                     chain=body.chain,
                     plans_before=body.plans_before,
-                    plans=[_plan(row) for row in body.plans],
+                    plans=[_encode_plan(row) for row in body.plans],
                     credentials=[
                         pb.Credential(
-                            name=c.name,
+                            name=c.credential_id,
                             digest=c.digest,
                             customer=c.customer,
                             next_customer=c.next_customer,
@@ -126,32 +130,37 @@
             )
         case Unchanged():
             update.unchanged.CopyFrom(
-                pb.Unchanged(epoch=body.epoch, version=body.version, other_past=body.other_past)
+                pb.Unchanged(epoch=body.epoch, version=body.version, other_past=body.diverged)
             )
-    return seal(update.SerializeToString(), key, SIGNED)
+    return sign_envelope(update.SerializeToString(), key, UPDATE_PURPOSE)
+
 
+def decode_update(data: bytes, key: Ed25519PublicKey) -> tuple[Body, float]:
+    """Verify and decode an update; return it with the time at which it was made.
 
-def read(data: bytes, key: Ed25519PublicKey) -> tuple[Body, float]:
-    """The update in an envelope and when it was made; BadUpdate where anything about it is wrong."""
+    BadUpdate where it is malformed or its signature is wrong.
+    """
     try:
-        update = pb.Update.FromString(unseal(data, key, SIGNED))
+        update = pb.Update.FromString(open_envelope(data, key, UPDATE_PURPOSE))
     except DecodeError as error:
         raise BadUpdate(f"not an update: {error}") from None
     match update.WhichOneof("body"):
         case "snapshot":
-            s = update.snapshot
-            columns = Columns(**{ours: getattr(s, sent) for ours, sent in _COLUMNS.items()})
-            plans = tuple(map(_plan_row, s.plans))
-            return Snapshot(s.epoch, s.version, s.chain, plans, columns), update.made_at_ms
+            snapshot = update.snapshot
+            columns = Columns(**{name: getattr(snapshot, wire_name) for name, wire_name in _COLUMNS.items()})
+            plans = tuple(map(_decode_plan, snapshot.plans))
+            return Snapshot(
+                snapshot.epoch, snapshot.version, snapshot.chain, plans, columns
+            ), update.made_at_ms
         case "delta":
-            d = update.delta
+            delta = update.delta
             return Delta(
-                d.epoch,
-                d.after,
-                d.version,
-                d.chain,
-                d.plans_before,
-                tuple(map(_plan_row, d.plans)),
+                delta.epoch,
+                delta.after,
+                delta.version,
+                delta.chain,
+                delta.plans_before,
+                tuple(map(_decode_plan, delta.plans)),
                 tuple(
                     Credential(
                         c.name,
@@ -163,11 +172,11 @@
                         c.ends_ms,
                         c.flags,
                     )
-                    for c in d.credentials
+                    for c in delta.credentials
                 ),
-                tuple(Customer(c.number, c.plan, c.next_plan, c.change_at_ms) for c in d.customers),
+                tuple(Customer(c.number, c.plan, c.next_plan, c.change_at_ms) for c in delta.customers),
             ), update.made_at_ms
         case "unchanged":
-            u = update.unchanged
-            return Unchanged(u.epoch, u.version, u.other_past), update.made_at_ms
-    raise BadUpdate("an update with nothing in it")
+            unchanged = update.unchanged
+            return Unchanged(unchanged.epoch, unchanged.version, unchanged.other_past), update.made_at_ms
+    raise BadUpdate("an update without a body")
--- a/tamarindfold/ingress/authentication.py
+++ b/tamarindfold/ingress/authentication.py
@@ -10,8 +10,8 @@
 from tamarindfold.config.model import GatewayConfig
 from tamarindfold.http1.requests import Rejected
 from tamarindfold.identity import keys
-from tamarindfold.identity.driver import NOT_KNOWN, Identity
-from tamarindfold.identity.resolve import Denied, Known
+from tamarindfold.identity.driver import REGISTRY_UNAVAILABLE, RegistryClient
+from tamarindfold.identity.resolve import Denied, ResolvedCredential
 from tamarindfold.ingress.admission import Admission, Forbidden, RequestParameters
 from tamarindfold.introspection import bearer
 from tamarindfold.introspection.claims import Claims
@@ -44,7 +44,7 @@
     customer: int
     plan: int
     valid_until_ms: float
-    known: Known | None = None
+    known: ResolvedCredential | None = None
 
 
 class Authenticator:
@@ -54,7 +54,7 @@
         self,
         config: GatewayConfig,
         introspector: Introspector,
-        identity: Identity | None,
+        identity: RegistryClient | None,
         log: Callable[..., None],
     ) -> None:
         self.apply(config, True)
@@ -96,18 +96,18 @@
         self.admission.require_scopes(claims, parameters.scopes)
         return self._by_client(self.identity, claims, give_up_ms, peer)
 
-    def _by_key(self, identity: Identity, key: bytes, give_up_ms: float, peer: str) -> Principal:
+    def _by_key(self, identity: RegistryClient, key: bytes, give_up_ms: float, peer: str) -> Principal:
         text = key.decode("ascii", "replace")
-        found = identity.sure(lambda: identity.by_key(text), give_up_ms)
+        found = identity.resolve_confirmed(lambda: identity.by_key(text), give_up_ms)
         self._require_registry(found)
         if isinstance(found, Denied):
             raise Unauthorized(401, "invalid_token", found.reason)
-        identity.used(found, peer)
+        identity.record_use(found, peer)
         return Principal(found.customer, found.plan, found.until_ms, found)
 
-    def _by_client(self, identity: Identity, claims: Claims, give_up_ms: float, peer: str) -> Principal:
+    def _by_client(self, identity: RegistryClient, claims: Claims, give_up_ms: float, peer: str) -> Principal:
         """The registry overrides the token: a plan claim that differs is logged once and ignored."""
-        found = identity.sure(lambda: identity.by_client(claims.client_id), give_up_ms)
+        found = identity.resolve_confirmed(lambda: identity.by_client(claims.client_id), give_up_ms)
         self._require_registry(found)
         if isinstance(found, Denied):
             raise Forbidden(found.reason)
@@ -115,7 +115,7 @@
         tables = identity.follower.tables
         if claimed and tables is not None and claimed != tables.plans[found.plan].plan:
             self._log_contradiction(claims.client_id, claimed, tables.plans[found.plan].plan)
-        identity.used(found, peer)
+        identity.record_use(found, peer)
         return Principal(found.customer, found.plan, min(claims.expires_ms, found.until_ms), found)
 
     def _log_contradiction(self, client: str, claimed: str, registered: str) -> None:
@@ -128,7 +128,7 @@
             )
 
     @staticmethod
-    def _require_registry(found: Known | Denied) -> None:
+    def _require_registry(found: ResolvedCredential | Denied) -> None:
         """Raises VerificationUnavailable while the registry's tables have not been loaded."""
-        if found is NOT_KNOWN:
-            raise VerificationUnavailable(NOT_KNOWN.reason, REGISTRY_RETRY_AFTER_MS)
+        if found is REGISTRY_UNAVAILABLE:
+            raise VerificationUnavailable(REGISTRY_UNAVAILABLE.reason, REGISTRY_RETRY_AFTER_MS)
--- a/tamarindfold/ingress/exchange.py
+++ b/tamarindfold/ingress/exchange.py
@@ -74,7 +74,9 @@
     headers: Headers
     body: bytes
     token_until_ms: float = math.inf
-    credential: Any = None  # the registry's entry for the credential (identity.resolve.Known), if any
+    credential: Any = (
+        None  # the registry's entry for the credential (identity.resolve.ResolvedCredential), if any
+    )
     first_gateway: int | None = None  # first gateway of the customer's set, if the client names it
     attempts: int = 0
     written: int = 0  # attempts of which at least one byte was sent
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -17,7 +17,7 @@
 from tamarindfold.config.model import GatewayConfig, Introspection
 from tamarindfold.counter.driver import Counter
 from tamarindfold.counter.pipeline import IncrByFloat
-from tamarindfold.identity.driver import Identity
+from tamarindfold.identity.driver import RegistryClient
 from tamarindfold.identity.files import pepper, public_key
 from tamarindfold.identity.model import PlanRow
 from tamarindfold.ingress.admin import Admin
@@ -121,11 +121,11 @@
         self.background = Background(config.recovery.background_part, log)
         self.recorder = self._recorder(config, clock) if config.instance.state_dir else None
 
-    def _identity(self, config: GatewayConfig, clock: Callable[[], float]) -> Identity:
+    def _identity(self, config: GatewayConfig, clock: Callable[[], float]) -> RegistryClient:
         """The follower of the registry; raises ValueError or OSError if its files are unusable."""
         section = config.identity
         assert section is not None
-        identity = Identity(
+        identity = RegistryClient(
             split_address(section.registry, "identity.registry"),
             public_key(Path(section.public_key)),
             pepper(Path(section.pepper)),
@@ -138,7 +138,7 @@
             self._on_plans,
             self.log,
         )
-        self.core.is_credential_valid = identity.still
+        self.core.is_credential_valid = identity.is_still_valid
         return identity
 
     def _recorder(self, config: GatewayConfig, clock: Callable[[], float]) -> Recorder:
--- a/tamarindfold/registry/__init__.py
+++ b/tamarindfold/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry process: tells instances what the store holds, as it changes."""
+"""The registry process: serves the store of keys and plans, and its changes, to the gateways."""
--- a/tamarindfold/registry/server.py
+++ b/tamarindfold/registry/server.py
@@ -1,6 +1,6 @@
-"""Serves the store to followers: long poll for updates, reports of use.
+"""Serves the store to gateways over HTTP: updates by long poll, and reports of credential use.
 
-Writers commit to the store's file by themselves; this process sees the commit and tells it on.
+Other processes commit to the store's file; this one polls it for commits and passes them on.
 """
 
 from __future__ import annotations
@@ -21,69 +21,72 @@
 from tamarindfold.http1.serve import serve
 from tamarindfold.identity.store import Store, StoreError
 from tamarindfold.identity.wire import Unchanged
-from tamarindfold.identity.wire import write as envelope
+from tamarindfold.identity.wire import encode_update
 from tamarindfold.ingress.clock import SteadyClock
 
-LOOK_EVERY_S = 0.02
-MOST_WAIT_MS = 60_000.0
-KEPT_ENVELOPES = 64  # one for each version that followers come from
-BODY_BYTES = 8 << 20
+STORE_POLL_INTERVAL_S = 0.02
+MAX_WAIT_MS = 60_000.0
+MAX_CACHED_ENVELOPES = 64  # one for each version that followers start from
+MAX_BODY_BYTES = 8 << 20
 
-Use = tuple[int, str, float, float, int]
+Use = tuple[int, str, float, float, int]  # credential id, network, first and last time, requests
 
 
-class Registry:
-    """One registry over one store."""
+class RegistryServer:
+    """Serves one store on one port."""
 
     def __init__(
         self, store: Store, key: Ed25519PrivateKey, host: str, port: int, log: Callable[..., None]
     ) -> None:
         self.store, self.key, self.log = store, key, log
         self.clock = SteadyClock().now
-        self.server = StreamServer((host, port), self._serve, backlog=1024)
-        self.changed = Event()
+        self.server = StreamServer((host, port), self._serve_connection, backlog=1024)
+        self.store_changed = Event()
         self.sockets: set[socket.socket] = set()
-        self.kept: dict[tuple[int, int], bytes] = {}
-        self.kept_at = (0, 0)
+        self.cached_envelopes: dict[tuple[int, int], bytes] = {}
+        self.cached_version = (0, 0)
         self.greenlets: list[gevent.Greenlet] = []
 
     def start(self) -> str:
-        """Open the port; where it is."""
+        """Start serving; return the address as host:port."""
         self.server.start()
-        self.greenlets = [gevent.spawn(self._watch)]
+        self.greenlets = [gevent.spawn(self._watch_store)]
         state = self.store.history.state
         self.log("registry.listening", port=self.server.server_port, version=state.version, epoch=state.epoch)
         return f"{self.server.server_host}:{self.server.server_port}"
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the port, all connections and the store."""
         self.server.close()
         gevent.killall(self.greenlets)
         for sock in list(self.sockets):
             sock.close()
         self.store.close()
 
-    def _watch(self) -> None:
-        """See what other processes commit. A broken log is told, and what was read before it stands."""
+    def _watch_store(self) -> None:
+        """Wake waiting followers when another process commits.
+
+        A broken log is reported; the state read before it remains in service.
+        """
         while True:
-            gevent.sleep(LOOK_EVERY_S)
+            gevent.sleep(STORE_POLL_INTERVAL_S)
             try:
                 if self.store.refresh():
-                    self.changed.set()
-                    self.changed.clear()
+                    self.store_changed.set()
+                    self.store_changed.clear()
             except StoreError as error:
                 self.log("registry.store_broken", reason=str(error))
                 gevent.sleep(1.0)
 
-    def _serve(self, sock: socket.socket, _peer: object) -> None:
+    def _serve_connection(self, sock: socket.socket, _peer: object) -> None:
         self.sockets.add(sock)
         try:
-            serve(sock, RequestReader(16_384, 100, BODY_BYTES), self._answer)
+            serve(sock, RequestReader(16_384, 100, MAX_BODY_BYTES), self._respond)
         finally:
             self.sockets.discard(sock)
             sock.close()
 
-    def _answer(self, request: Request) -> bytes:
+    def _respond(self, request: Request) -> bytes:
         parts = urlsplit(request.target.decode())
         try:
             if (request.method, parts.path) == ("GET", "/v1/updates"):
@@ -94,7 +97,7 @@
                     request.keep_alive,
                 )
             if (request.method, parts.path) == ("POST", "/v1/use"):
-                self._use(request.body)
+                self._record_uses(request.body)
                 return write.response(200, [], b"", request.keep_alive)
         except StoreError as error:
             self.log("registry.store_broken", reason=str(error))
@@ -106,36 +109,36 @@
         return write.response(404, [], b"", request.keep_alive)
 
     def _update(self, query: dict[str, list[str]]) -> bytes:
-        def asked(name: str, default: str) -> str:
+        def parameter(name: str, default: str) -> str:
             return query.get(name, [default])[0]
 
-        epoch, after = int(asked("epoch", "0")), int(asked("after", "-1"))
-        chain, whole = int(asked("chain", "0"), 16), asked("whole", "0") == "1"
-        wait = min(MOST_WAIT_MS, float(asked("wait_ms", "0")))
-        if not wait:
-            self.store.refresh()  # who asks so wants to know of every commit before this moment
-        body = self.store.history.since(epoch, after, chain, whole)
-        if isinstance(body, Unchanged) and wait > 0 and not body.other_past:
-            self.changed.wait(wait / 1000)
-            body = self.store.history.since(epoch, after, chain, whole)
+        epoch, after = int(parameter("epoch", "0")), int(parameter("after", "-1"))
+        chain, want_snapshot = int(parameter("chain", "0"), 16), parameter("whole", "0") == "1"
+        wait_ms = min(MAX_WAIT_MS, float(parameter("wait_ms", "0")))
+        if not wait_ms:
+            self.store.refresh()  # such a follower needs every commit made before its request
+        body = self.store.history.since(epoch, after, chain, want_snapshot)
+        if isinstance(body, Unchanged) and wait_ms > 0 and not body.diverged:
+            self.store_changed.wait(wait_ms / 1000)
+            body = self.store.history.since(epoch, after, chain, want_snapshot)
         if isinstance(body, Unchanged):
-            return envelope(body, self.clock(), self.key)
+            return encode_update(body, self.clock(), self.key)
         state = self.store.history.state
-        if self.kept_at != (state.epoch, state.version):
-            self.kept, self.kept_at = {}, (state.epoch, state.version)
-        sent = (epoch, after) if not hasattr(body, "columns") else (0, -1)
-        if sent not in self.kept:  # made once for all followers that come from there
-            if len(self.kept) >= KEPT_ENVELOPES:
-                self.kept.clear()
-            self.kept[sent] = envelope(body, self.clock(), self.key)
-        return self.kept[sent]
-
-    def _use(self, body: bytes) -> None:
-        by_name = self.store.history.state.by_name
+        if self.cached_version != (state.epoch, state.version):
+            self.cached_envelopes, self.cached_version = {}, (state.epoch, state.version)
+        start = (epoch, after) if not hasattr(body, "columns") else (0, -1)
+        if start not in self.cached_envelopes:  # encoded once for all followers of that version
+            if len(self.cached_envelopes) >= MAX_CACHED_ENVELOPES:
+                self.cached_envelopes.clear()
+            self.cached_envelopes[start] = encode_update(body, self.clock(), self.key)
+        return self.cached_envelopes[start]
+
+    def _record_uses(self, body: bytes) -> None:
+        labels = self.store.history.state.credential_labels
         uses: list[Any] = msgspec.json.decode(body, type=list[Use])
-        self.store.note_use(
+        self.store.add_uses(
             [
-                (by_name.get(name, f"{name:016x}"), network, first, last, count)
-                for name, network, first, last, count in uses
+                (labels.get(credential_id, f"{credential_id:016x}"), network, first, last, count)
+                for credential_id, network, first, last, count in uses
             ]
         )
--- a/tamarindfold/rehearsal/book.py
+++ b/tamarindfold/rehearsal/book.py
@@ -38,7 +38,7 @@
     def fill(self, now_ms: float) -> None:
         """Make the store with all plans, customers and a key each."""
         assert self.day.registry is not None
-        files.make(self.path)
+        files.create_all(self.path)
         self.store = Store(self.path, create=True)
         self.pepper = files.pepper(files.pepper_path(self.path))
         changes: list[AnyChange] = [
@@ -86,6 +86,6 @@
         self.ledger.note(at_ms, "plan", customer=customer, plan=plan, at=at_ms)
 
     def _issue(self, customer: str) -> Issue:
-        name, text = keys.make()
+        name, text = keys.generate()
         self.held.setdefault(customer, []).append((keys.label(name), text, float("inf")))
-        return Issue(keys.label(name), "key", name, keys.digest(self.pepper, keys.read(text)[1]), customer)
+        return Issue(keys.label(name), "key", name, keys.digest(self.pepper, keys.parse(text)[1]), customer)
--- a/tamarindfold/rehearsal/keepers.py
+++ b/tamarindfold/rehearsal/keepers.py
@@ -21,7 +21,7 @@
 from tamarindfold.agreement.operator_client import NoAnswer, OperatorClient
 from tamarindfold.agreement.state import State, decode
 from tamarindfold.config.addresses import split_address
-from tamarindfold.identity.files import make_pair, private_path, public_path, signing_key
+from tamarindfold.identity.files import create_key_pair, private_path, public_path, signing_key
 from tamarindfold.rehearsal.day import fits
 from tamarindfold.rehearsal.processes import Program
 from tamarindfold.rehearsal.relay import LinkFault, Relay
@@ -70,7 +70,7 @@
         self.skews, self.faulty = skews or {}, faulty or {}
         for folder in ("config", "logs", "state"):
             (out / folder).mkdir(parents=True, exist_ok=True)
-        make_pair(out / "state" / "fleet")
+        create_key_pair(out / "state" / "fleet")
         self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(keepers)]
         self.relays: dict[tuple[str, str], Relay] = {}
         for k, address in enumerate(self.addresses):
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -33,7 +33,7 @@
 from tamarindfold.agreement.reports import Report, Reports
 from tamarindfold.agreement.state import InvalidEntry, State, decode, encode
 from tamarindfold.cli.main import cli
-from tamarindfold.identity.files import make_pair
+from tamarindfold.identity.files import create_key_pair
 from tamarindfold.interface import Plan, Refuse, SettingsChanged
 from tamarindfold.interface import Send as SendOn
 from tamarindfold.keeper.disk import LogFile
@@ -467,7 +467,7 @@
     tmp_path: Path, arguments: list[str], text: str, message: str
 ) -> None:
     file = tmp_path / "file.yaml"
-    make_pair(tmp_path / "fleet")
+    create_key_pair(tmp_path / "fleet")
     file.write_text(
         text.replace("KEY", str(tmp_path / "fleet.key")).replace("state_dir: x", f"state_dir: {tmp_path}/x")
     )
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -1,4 +1,4 @@
-"""Keys, the registry's state and what instances make of it, without sockets."""
+"""API keys, the registry's state and store, and the follower, without sockets."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tamarindfold.identity import copy, keys, resolve
+from tamarindfold.identity import keys, resolve, saved_copy
 from tamarindfold.identity.audit import audit
-from tamarindfold.identity.confirm import Confirmations, Put, Release
-from tamarindfold.identity.follower import Applied, Current, Follower, Rejected
+from tamarindfold.identity.confirm import Confirmations, SendQuery, ReleaseWaiters
+from tamarindfold.identity.follower import Applied, UpToDate, Follower, Rejected
 from tamarindfold.identity.history import History
 from tamarindfold.identity.model import (
     AddCustomer,
@@ -33,10 +33,10 @@
     SetNetworks,
     SetPlan,
 )
-from tamarindfold.identity.state import Refused
+from tamarindfold.identity.state import InvalidChange
 from tamarindfold.identity.store import Store, StoreError
-from tamarindfold.identity.tables import BadTables, Tables, snapshot
-from tamarindfold.identity.wire import BadUpdate, read, write
+from tamarindfold.identity.tables import BadTables, Tables, build_snapshot
+from tamarindfold.identity.wire import BadUpdate, decode_update, encode_update
 
 PEPPER = b"p" * 32
 SIGNING = Ed25519PrivateKey.generate()
@@ -50,7 +50,7 @@
 
 
 def client(name: str, customer: str, from_ms: float = 0.0) -> Issue:
-    return Issue(name, "client", *keys.client_name(name), customer, from_ms)
+    return Issue(name, "client", *keys.hash_client_id(name), customer, from_ms)
 
 
 def history(*changes, at: float = 1000.0) -> History:
@@ -61,44 +61,46 @@
 
 
 def tables(made: History) -> Tables:
-    return Tables(made.whole())
+    return Tables(made.snapshot())
 
 
 # ---- keys
 
 
-def test_a_key_is_read_back_and_a_mistyped_one_is_told_without_a_look_up() -> None:
-    name, text = keys.make()
-    assert keys.read(text)[0] == name and keys.looks_like_key(text)
-    assert keys.label(name) == text[:17]
+def test_generated_key_parses_and_a_single_wrong_character_is_detected() -> None:
+    key_id, text = keys.generate()
+    assert keys.parse(text)[0] == key_id and keys.looks_like_key(text)
+    assert keys.label(key_id) == text[:17]
     for at in range(4, len(text)):
         for other in "0a":
             wrong = text[:at] + other + text[at + 1 :]
             if wrong != text:
                 with pytest.raises(keys.BadKey):
-                    keys.read(wrong)
+                    keys.parse(wrong)
 
 
 @pytest.mark.parametrize("text", ["", "tfk_", "tfk_" + "z" * 47, "TFK_" + "0" * 13, "x" * 10_000, "tfk_é"])
-def test_what_is_no_key(text) -> None:
+def test_malformed_key_is_rejected(text) -> None:
     with pytest.raises(keys.BadKey):
-        keys.read(text)
+        keys.parse(text)
 
 
-def test_only_the_secret_opens_the_door() -> None:
-    name, text = keys.make()
-    made = history(Issue("k", "key", name, keys.digest(PEPPER, keys.read(text)[1]), "anna"))
-    assert resolve.by_key(tables(made), text, PEPPER, 2000, 0) == resolve.Known(1, 0, name, math.inf)
+def test_key_resolves_only_with_its_secret_and_the_right_pepper() -> None:
+    key_id, text = keys.generate()
+    made = history(Issue("k", "key", key_id, keys.digest(PEPPER, keys.parse(text)[1]), "anna"))
+    assert resolve.by_key(tables(made), text, PEPPER, 2000, 0) == resolve.ResolvedCredential(
+        1, 0, key_id, math.inf
+    )
     body = text[:18] + "0" * 26
-    forged = body + "_" + keys._check(body)
+    forged = body + "_" + keys._checksum(body)
     assert resolve.by_key(tables(made), forged, PEPPER, 2000, 0) == resolve.Denied("no such credential")
     assert resolve.by_key(tables(made), text, b"q" * 32, 2000, 0) == resolve.Denied("no such credential")
-    assert resolve.by_key(tables(made), keys.make()[1], PEPPER, 2000, 0).unknown
+    assert resolve.by_key(tables(made), keys.generate()[1], PEPPER, 2000, 0).unknown
 
 
-# ---- the state's checks
+# ---- validation of changes
 
-BAD = [
+INVALID_CHANGES = [
     DefinePlan("small", PlanFigures(-1, 1)),
     DefinePlan("", FIGURES),
     DefinePlan("a b", FIGURES),
@@ -118,7 +120,7 @@
     Issue("n", "password", 1, b"0" * 16, "anna"),
     Issue("n", "key", 1, b"0", "anna"),
     Issue("n", "key", 1 << 64, b"0" * 16, "anna"),
-    Issue("n", "key", keys.client_name("till")[0], b"0" * 16, "anna"),
+    Issue("n", "key", keys.hash_client_id("till")[0], b"0" * 16, "anna"),
     Issue("n", "key", 1, b"0" * 16, "anna", math.nan),
     Retire("none", 2000),
     Retire("till", 999),
@@ -136,8 +138,8 @@
 ]
 
 
-@pytest.mark.parametrize("change", BAD, ids=lambda c: type(c).__name__)
-def test_a_change_that_does_not_fit_leaves_everything_as_it_was(change) -> None:
+@pytest.mark.parametrize("change", INVALID_CHANGES, ids=lambda c: type(c).__name__)
+def test_invalid_change_leaves_the_state_unmodified(change) -> None:
     made = history(
         client("till", "anna"),
         client("gone", "anna"),
@@ -146,108 +148,114 @@
         client("moving", "anna"),
         Move("moving", "bert", 5000),
     )
-    before = snapshot(made.state, 0)
-    with pytest.raises(Refused):
+    before = build_snapshot(made.state, 0)
+    with pytest.raises(InvalidChange):
         made.extend(change, 1000.0, 1)
-    assert snapshot(made.state, 0) == before
+    assert build_snapshot(made.state, 0) == before
 
 
-# ---- instants and skew
+# ---- times of effect and clock skew
 
 
-def test_a_hand_over_takes_effect_at_its_instant_whatever_the_skew_allowed() -> None:
+def test_transfer_takes_effect_at_its_time_without_skew_tolerance() -> None:
     t = tables(history(client("till", "anna"), Move("till", "bert", 5000)))
     assert [resolve.by_client(t, "till", at, 1000).customer for at in (4999, 5000, 5001)] == [1, 2, 2]
 
 
-def test_a_credentials_own_ends_are_stretched_by_the_skew_and_a_revocation_is_not() -> None:
+def test_validity_period_is_extended_by_the_skew_but_a_revocation_is_immediate() -> None:
     t = tables(history(client("till", "anna", 3000), Retire("till", 5000)))
-    good = [
-        isinstance(resolve.by_client(t, "till", at, 1000), resolve.Known)
+    valid = [
+        isinstance(resolve.by_client(t, "till", at, 1000), resolve.ResolvedCredential)
         for at in (1999, 2000, 4999, 5999, 6000)
     ]
-    assert good == [False, True, True, True, False]
+    assert valid == [False, True, True, True, False]
     t = tables(history(client("till", "anna"), Revoke("till", 1000)))
     assert resolve.by_client(t, "till", 500, 10_000) == resolve.Denied("the credential was revoked")
 
 
-def test_a_plan_change_takes_effect_at_its_instant() -> None:
+def test_plan_change_takes_effect_at_its_time() -> None:
     t = tables(history(client("till", "anna"), SetPlan("anna", "large", 1, 5000)))
     assert [resolve.by_client(t, "till", at, 1000).plan for at in (4999, 5000)] == [0, 1]
 
 
-# ---- following
+# ---- following the registry
 
 
-def test_deltas_follow_and_a_gap_leads_to_a_snapshot() -> None:
+def test_delta_is_applied_in_sequence_and_a_gap_requests_a_snapshot() -> None:
     made, follower = history(client("till", "anna")), Follower()
-    ask = follower.ask()
-    assert isinstance(follower.take(made.since(ask.epoch, ask.after, ask.chain, ask.whole), 1.0), Applied)
+    request = follower.next_request()
+    assert isinstance(
+        follower.apply_update(
+            made.since(request.epoch, request.after, request.chain, request.want_snapshot), 1.0
+        ),
+        Applied,
+    )
     made.extend(SetPlan("anna", "large", 1, 2000), 1500.0, 201)
-    ask = follower.ask()
-    delta = made.since(ask.epoch, ask.after, ask.chain, ask.whole)
+    request = follower.next_request()
+    delta = made.since(request.epoch, request.after, request.chain, request.want_snapshot)
     assert len(delta.customers) == 1 and not delta.credentials
     made.extend(client("second", "bert"), 1500.0, 202)
     later = made.since(1, 6, 201, False)
-    assert isinstance(follower.take(later, 2.0), Rejected) and follower.ask().whole
+    assert isinstance(follower.apply_update(later, 2.0), Rejected) and follower.next_request().want_snapshot
     assert follower.tables.version == 5
-    assert isinstance(follower.take(delta, 2.0), Applied)
-    assert isinstance(follower.take(later, 2.0), Applied)
-    assert isinstance(follower.take(delta, 3.0), Current)  # late on another connection
+    assert isinstance(follower.apply_update(delta, 2.0), Applied)
+    assert isinstance(follower.apply_update(later, 2.0), Applied)
+    assert isinstance(follower.apply_update(delta, 3.0), UpToDate)  # arrives late on the other connection
     assert resolve.by_client(follower.tables, "second", 2000, 0).customer == 2
 
 
-def test_a_delta_that_overlaps_what_is_held_is_taken() -> None:
+def test_delta_that_overlaps_the_version_held_is_applied() -> None:
     made, follower = history(), Follower()
-    follower.take(made.whole(), 1.0)
+    follower.apply_update(made.snapshot(), 1.0)
     made.extend(DefinePlan("mid", FIGURES), 1500.0, 201)
     first = made.since(1, 4, 104, False)
     made.extend(AddCustomer("carl", "mid", 1), 1500.0, 202)
     both = made.since(1, 4, 104, False)
-    follower.take(first, 1.0)
-    assert isinstance(follower.take(both, 1.0), Applied)
+    follower.apply_update(first, 1.0)
+    assert isinstance(follower.apply_update(both, 1.0), Applied)
     assert [p.plan for p in follower.tables.plans] == ["small", "large", "mid"]
     assert follower.tables.customer(3).plan == 2
 
 
-def test_a_registry_restored_from_an_old_backup_is_not_followed_until_adopted() -> None:
+def test_registry_restored_from_an_old_backup_is_followed_only_after_adoption() -> None:
     made, follower = history(client("till", "anna")), Follower()
-    follower.take(made.whole(), 1.0)
+    follower.apply_update(made.snapshot(), 1.0)
     made.extend(Revoke("till", 1500.0), 1500.0, 201)
-    follower.take(made.since(1, 5, 105, False), 2.0)
+    follower.apply_update(made.since(1, 5, 105, False), 2.0)
     restored = history(client("till", "anna"))  # the revocation is lost
-    for answer in (restored.since(1, 6, 201, False), restored.since(1, 6, 201, True), restored.whole()):
-        result = follower.take(answer, 3.0)
-        assert isinstance(result, Rejected) and result.went_back
+    for answer in (restored.since(1, 6, 201, False), restored.since(1, 6, 201, True), restored.snapshot()):
+        result = follower.apply_update(answer, 3.0)
+        assert isinstance(result, Rejected) and result.rolled_back
     restored.extend(client("x", "anna"), 1600.0, 301)
-    restored.extend(client("y", "anna"), 1600.0, 302)  # now it is further on, with another past
-    result = follower.take(restored.since(1, 6, 201, False), 3.0)
-    assert isinstance(result, Rejected) and result.went_back
+    restored.extend(client("y", "anna"), 1600.0, 302)
+    # Its version is now higher than the follower's, but its history has diverged.
+    result = follower.apply_update(restored.since(1, 6, 201, False), 3.0)
+    assert isinstance(result, Rejected) and result.rolled_back
     assert isinstance(resolve.by_client(follower.tables, "till", 2000, 0), resolve.Denied)
     restored.extend(Adopt(2), 1700.0, 303)
-    assert isinstance(follower.take(restored.since(1, 6, 201, False), 4.0), Applied)
-    assert isinstance(resolve.by_client(follower.tables, "till", 2000, 0), resolve.Known)
+    assert isinstance(follower.apply_update(restored.since(1, 6, 201, False), 4.0), Applied)
+    assert isinstance(resolve.by_client(follower.tables, "till", 2000, 0), resolve.ResolvedCredential)
 
 
-def test_what_is_not_whole_or_not_signed_is_not_read() -> None:
-    data = write(history().whole(), 1.0, SIGNING)
+def test_truncated_altered_or_wrongly_signed_envelope_is_rejected() -> None:
+    data = encode_update(history().snapshot(), 1.0, SIGNING)
     public = SIGNING.public_key()
-    assert read(data, public)[0].version == 4
+    assert decode_update(data, public)[0].version == 4
     with pytest.raises(BadUpdate, match="another key"):
-        read(data, Ed25519PrivateKey.generate().public_key())
+        decode_update(data, Ed25519PrivateKey.generate().public_key())
     for at in range(0, len(data), 7):
         with pytest.raises(BadUpdate):
-            read(data[:at], public)
+            decode_update(data[:at], public)
         with pytest.raises(BadUpdate):
-            read(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :], public)
+            decode_update(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :], public)
 
 
-def test_columns_that_do_not_fit_are_not_used() -> None:
+def test_snapshot_with_inconsistent_columns_is_rejected_and_the_old_tables_stay() -> None:
     from dataclasses import replace
 
-    made = history(client("till", "anna")).whole()
+    made = history(client("till", "anna")).snapshot()
     follower = Follower()
-    follower.take(made, 1.0)
+    follower.apply_update(made, 1.0)
     held = follower.tables
     for field in ("names", "index", "digests", "customers", "moved_at", "flags", "customer_next"):
         cut = replace(
@@ -255,63 +263,66 @@
         )
         with pytest.raises(BadTables):
             Tables(cut)
-        assert isinstance(follower.take(cut, 2.0), Rejected) and follower.tables is held
+        assert isinstance(follower.apply_update(cut, 2.0), Rejected) and follower.tables is held
 
 
-def test_a_durable_copy_cut_off_anywhere_is_good_up_to_its_last_whole_part(tmp_path) -> None:
+def test_saved_copy_truncated_anywhere_loads_up_to_its_last_complete_envelope(tmp_path) -> None:
     made, path, public = history(), tmp_path / "copy.bin", SIGNING.public_key()
-    copy.save(path, write(made.whole(), 1.0, SIGNING), True)
+    saved_copy.save(path, encode_update(made.snapshot(), 1.0, SIGNING), True)
     sizes = {path.stat().st_size: 4}
     for i in range(3):
         made.extend(client(f"c{i}", "anna"), 1500.0, 201 + i)
-        copy.save(path, write(made.since(1, 4 + i, 200 + i if i else 104, False), 1.0, SIGNING), False)
+        saved_copy.save(
+            path, encode_update(made.since(1, 4 + i, 200 + i if i else 104, False), 1.0, SIGNING), False
+        )
         sizes[path.stat().st_size] = 5 + i
     data = path.read_bytes()
     for cut in range(0, len(data) + 1, 3):
         path.write_bytes(data[:cut])
         follower = Follower()
-        fault = copy.load(path, public, follower)
+        fault = saved_copy.load(path, public, follower)
         version = max((v for size, v in sizes.items() if size <= cut), default=0)
         assert (follower.tables.version if follower.tables else 0) == version
         assert bool(fault) == (cut not in (0, *sizes))
     path.write_bytes(data[:200] + b"\0" + data[201:])
     follower = Follower()
-    assert copy.load(path, public, follower)
+    assert saved_copy.load(path, public, follower)
     assert follower.tables is None
 
 
-def test_one_question_serves_all_who_came_before_it() -> None:
-    c = Confirmations()
-    assert c.wait() == (1, [Put()])
-    assert c.wait() == (2, []) and c.wait() == (2, [])  # the question in flight was put before they came
-    assert c.answered(True) == [Release(1, True), Put()]
-    assert c.answered(False) == [Release(2, False)]
-    assert c.wait() == (3, [Put()])
+def test_one_query_serves_all_requests_that_arrived_before_it() -> None:
+    confirmations = Confirmations()
+    assert confirmations.join_round() == (1, [SendQuery()])
+    # The query in flight was sent before these two arrived.
+    assert confirmations.join_round() == (2, []) and confirmations.join_round() == (2, [])
+    assert confirmations.answered(True) == [ReleaseWaiters(1, True), SendQuery()]
+    assert confirmations.answered(False) == [ReleaseWaiters(2, False)]
+    assert confirmations.join_round() == (3, [SendQuery()])
 
 
-# ---- a simple model
+# ---- comparison with a simple model
 
 NAMES = ("t1", "t2", "t3")
 CUSTOMERS = ("anna", "bert")
 SPAN = st.integers(0, 40).map(float)
 
 
-class Rotations(RuleBasedStateMachine):
-    """Any order of changes at any times: a follower by deltas agrees with a list of what was said."""
+class CredentialChanges(RuleBasedStateMachine):
+    """Applies changes in any order at any times and compares a follower with a plain record of the changes."""
 
     @initialize()
     def begin(self) -> None:
         self.now, self.made, self.follower = 1000.0, history(), Follower()
-        self.follower.take(self.made.whole(), 1.0)
+        self.follower.apply_update(self.made.snapshot(), 1.0)
         self.owner: dict[str, list[tuple[float, str]]] = {}
-        self.life: dict[str, tuple[float, float]] = {}
+        self.validity: dict[str, tuple[float, float]] = {}
         self.revoked: set[str] = set()
         self.plan = {"anna": [(0.0, 0)], "bert": [(0.0, 1)]}
 
     def commit(self, change) -> bool:
         try:
             self.made.extend(change, self.now, self.made.state.version + 101)
-        except Refused:
+        except InvalidChange:
             return False
         return True
 
@@ -323,12 +334,12 @@
     def issue(self, name, customer, span) -> None:
         if self.commit(client(name, customer, self.now + span)):
             assert name not in self.owner
-            self.owner[name], self.life[name] = [(0.0, customer)], (self.now + span, math.inf)
+            self.owner[name], self.validity[name] = [(0.0, customer)], (self.now + span, math.inf)
 
     @rule(name=st.sampled_from(NAMES), span=SPAN)
     def retire(self, name, span) -> None:
         if self.commit(Retire(name, self.now + span)):
-            self.life[name] = self.life[name][0], self.now + span
+            self.validity[name] = self.validity[name][0], self.now + span
 
     @rule(name=st.sampled_from(NAMES))
     def revoke(self, name) -> None:
@@ -350,36 +361,38 @@
         self.follower = Follower()
 
     @invariant()
-    def agrees(self) -> None:
-        ask = self.follower.ask()
-        result = self.follower.take(self.made.since(ask.epoch, ask.after, ask.chain, ask.whole), self.now)
-        assert isinstance(result, Applied | Current)
+    def follower_agrees_with_the_record(self) -> None:
+        request = self.follower.next_request()
+        result = self.follower.apply_update(
+            self.made.since(request.epoch, request.after, request.chain, request.want_snapshot), self.now
+        )
+        assert isinstance(result, Applied | UpToDate)
         for at in (self.now, self.now + 15.0, self.now + 100.0):
             for name in NAMES:
                 found = resolve.by_client(self.follower.tables, name, at, 0.0)
-                begins, ends = self.life.get(name, (math.inf, math.inf))
+                begins, ends = self.validity.get(name, (math.inf, math.inf))
                 if name in self.revoked or not begins <= at < ends:
                     assert isinstance(found, resolve.Denied)
                     continue
-                customer = [who for since, who in self.owner[name] if since <= at][-1]
+                customer = [owner for since, owner in self.owner[name] if since <= at][-1]
                 plan = [p for since, p in self.plan[customer] if since <= at][-1]
                 assert (found.customer, found.plan) == (CUSTOMERS.index(customer) + 1, plan)
 
 
-Rotations.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
-TestRotations = Rotations.TestCase
+CredentialChanges.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
+TestCredentialChanges = CredentialChanges.TestCase
 
 
 # ---- the store
 
 
-def filled(path: Path) -> Store:
+def create_store(path: Path) -> Store:
     store = Store(path, create=True)
     store.commit(BASE, 1000.0)
     return store
 
 
-CRASH = """
+CRASHING_COMMIT = """
 import os, sys
 from pathlib import Path
 from tamarindfold.identity.model import *
@@ -390,17 +403,17 @@
     seen += 1
     if seen == int(sys.argv[2]):
         os._exit(9)
-store = Store(Path(sys.argv[1]), step=step)
+store = Store(Path(sys.argv[1]), on_step=step)
 store.commit([AddCustomer("carl", "small", 1), AddCustomer("dora", "large", 1)], 2000.0)
 """
 
 
-def test_a_commit_killed_at_any_point_is_whole_or_not_there(tmp_path) -> None:
+def test_commit_killed_at_any_step_is_complete_or_absent(tmp_path) -> None:
     steps = ["before", "begun", "inserted", "inserted", "committed"]
     for point, name in enumerate([*steps, "past the end"], 1):
         path = tmp_path / f"{point}.db"
-        filled(path).close()
-        done = subprocess.run([sys.executable, "-c", CRASH, str(path), str(point)], check=False)
+        create_store(path).close()
+        done = subprocess.run([sys.executable, "-c", CRASHING_COMMIT, str(path), str(point)], check=False)
         assert done.returncode == (0 if name == "past the end" else 9)
         store = Store(path)
         assert store.history.state.version == (6 if point >= 5 else 4), name
@@ -408,8 +421,8 @@
         store.close()
 
 
-def test_a_write_ahead_log_cut_off_anywhere_ends_with_a_whole_commit(tmp_path) -> None:
-    store = filled(tmp_path / "r.db")
+def test_write_ahead_log_truncated_anywhere_ends_with_a_complete_commit(tmp_path) -> None:
+    store = create_store(tmp_path / "r.db")
     for i in range(3):
         store.commit([AddCustomer(f"c{i}", "small", 1), client(f"t{i}", f"c{i}")], 2000.0 + i)
     versions = set()
@@ -422,7 +435,7 @@
         try:
             opened = Store(folder / "r.db")
         except StoreError:
-            assert not versions  # not even the tables were there yet
+            assert not versions  # not even the schema had been committed
             continue
         assert opened.history.state.version >= max(versions, default=0)
         versions.add(opened.history.state.version)
@@ -431,17 +444,17 @@
     store.close()
 
 
-def test_a_batch_is_committed_whole_or_not_at_all(tmp_path) -> None:
-    store = filled(tmp_path / "r.db")
-    with pytest.raises(Refused):
+def test_batch_is_committed_atomically(tmp_path) -> None:
+    store = create_store(tmp_path / "r.db")
+    with pytest.raises(InvalidChange):
         store.commit([AddCustomer("carl", "small", 1), AddCustomer("carl", "small", 1)], 2000.0)
     assert store.history.state.version == 4 and "carl" not in store.history.state.customers
     assert store.commit([AddCustomer("carl", "small", 1)], 2000.0) == 5
     store.close()
 
 
-def test_two_writers_take_turns(tmp_path) -> None:
-    one = filled(tmp_path / "r.db")
+def test_two_writers_see_each_others_commits(tmp_path) -> None:
+    one = create_store(tmp_path / "r.db")
     two = Store(tmp_path / "r.db")
     one.commit([AddCustomer("carl", "small", 1)], 2000.0)
     assert two.commit([AddCustomer("dora", "small", 1)], 2000.0) == 6
@@ -449,8 +462,8 @@
     assert one.history.chains == two.history.chains
 
 
-def test_a_log_that_was_meddled_with_is_not_used(tmp_path) -> None:
-    store = filled(tmp_path / "r.db")
+def test_log_is_append_only_and_tampering_is_detected(tmp_path) -> None:
+    store = create_store(tmp_path / "r.db")
     with pytest.raises(sqlite3.IntegrityError, match="append-only"):
         store.db.execute("UPDATE log SET at_ms = 0")
     with pytest.raises(sqlite3.IntegrityError, match="append-only"):
@@ -470,27 +483,27 @@
         lambda p: sqlite3.connect(p).execute("CREATE TABLE t (a)"),
     ],
 )
-def test_what_is_no_store(tmp_path, make) -> None:
+def test_file_that_is_not_a_store_is_rejected(tmp_path, make) -> None:
     make(tmp_path / "r.db")
     with pytest.raises(StoreError):
         Store(tmp_path / "r.db")
 
 
-def test_a_hundred_thousand_keys(tmp_path) -> None:
+def test_look_up_and_delta_with_100_000_keys(tmp_path) -> None:
     made = history()
     for i in range(100_000):
         made.extend(
             Issue(f"k{i}", "key", (i * 0x9E3779B97F4A7C15) % 2**64, i.to_bytes(16, "big"), "anna"), 1000.0, i
         )
     follower = Follower()
-    body, _ = read(write(made.whole(), 1.0, SIGNING), SIGNING.public_key())
-    follower.take(body, 1.0)
+    body, _ = decode_update(encode_update(made.snapshot(), 1.0, SIGNING), SIGNING.public_key())
+    follower.apply_update(body, 1.0)
     assert follower.tables.rows == 100_000
     for i in range(0, 100_000, 997):
         assert follower.tables.credential((i * 0x9E3779B97F4A7C15) % 2**64).digest == i.to_bytes(16, "big")
     assert follower.tables.credential(12345) is None
     made.extend(Retire("k7", 5000.0), 1000.0, 1)
-    follower.take(made.since(1, made.state.version - 1, made.chains[-2], False), 1.0)
+    follower.apply_update(made.since(1, made.state.version - 1, made.chains[-2], False), 1.0)
     assert follower.tables.credential(7 * 0x9E3779B97F4A7C15 % 2**64).ends_ms == 5000.0
 
 
@@ -499,7 +512,7 @@
 DAY = 86_400_000.0
 
 
-def test_the_audit_finds_use_that_does_not_fit() -> None:
+def test_audit_reports_each_kind_of_suspicious_use() -> None:
     changes = [
         SetNetworks("anna", ("10.1.0.0/16",)),
         SetNetworks("bert", ("10.2.0.0/16",)),
@@ -534,7 +547,7 @@
     assert early == {("plan_jumps", "anna")}
 
 
-def test_nothing_secret_is_in_an_export(tmp_path) -> None:
+def test_export_lists_and_store_contain_no_secret(tmp_path) -> None:
     command = [sys.executable, "-m", "tamarindfold.cli.main", "keys", "--store", str(tmp_path / "r.db")]
 
     def run(*words: str) -> str:
@@ -551,9 +564,9 @@
     run("plan", "small", "--rate", "5", "--burst", "10")
     run("add-customer", "anna", "--plan", "small@1")
     text = run("issue", "anna").split()[-1]
-    secret = keys.read(text)[1]
+    secret = keys.parse(text)[1]
     shown = run("export") + run("list") + run("history")
-    assert keys.label(keys.read(text)[0]) in shown and secret not in shown
+    assert keys.label(keys.parse(text)[0]) in shown and secret not in shown
     assert secret.encode() not in (tmp_path / "r.db").read_bytes()
     new = run("rotate", text[:17], "--overlap", "15m").split()[-1]
     assert new != text and "retiring" in run("list")
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Gateways that follow a registry, over sockets."""
+"""Gateways that follow a registry over sockets, and the effect of plan changes on buckets."""
 
 from __future__ import annotations
 
@@ -23,53 +23,53 @@
 )
 from tamarindfold.identity.store import Store
 from tamarindfold.interface import Plan
-from tamarindfold.registry.server import Registry
+from tamarindfold.registry.server import RegistryServer
 from tamarindfold.standins.base import Fault
 
 
-class Desk:
-    """A store, its registry, and who works on them."""
+class RegistryFixture:
+    """A store in a temporary folder, the server for it, and an operator's commits."""
 
     def __init__(self, folder) -> None:
         self.path = folder / "r.db"
-        files.make(self.path)
+        files.create_all(self.path)
         self.store = Store(self.path, create=True)
         self.pepper = files.pepper(files.pepper_path(self.path))
-        self.do(
+        self.commit(
             DefinePlan("small", PlanFigures(2, 6)),
             DefinePlan("large", PlanFigures(0.5, 60)),
             AddCustomer("anna", "large", 1),
             AddCustomer("bert", "small", 1),
         )
-        self.registry: Registry | None = None
+        self.server: RegistryServer | None = None
         self.port = 0
         self.open()
 
     def open(self) -> None:
-        self.registry = Registry(
+        self.server = RegistryServer(
             Store(self.path), files.private_key(self.path), "127.0.0.1", self.port, lambda *_, **__: None
         )
-        self.port = int(self.registry.start().rpartition(":")[2])
+        self.port = int(self.server.start().rpartition(":")[2])
 
     def close(self) -> None:
-        if self.registry is not None:
-            self.registry.stop()
-            self.registry = None
+        if self.server is not None:
+            self.server.stop()
+            self.server = None
 
-    def do(self, *changes) -> int:
+    def commit(self, *changes) -> int:
         return self.store.commit(changes, self.now())
 
     @staticmethod
     def now() -> float:
         return time.time() * 1000
 
-    def key(self, customer: str, from_ms: float = 0.0) -> tuple[str, str]:
-        name, text = keys.make()
-        digest = keys.digest(self.pepper, keys.read(text)[1])
-        self.do(Issue(keys.label(name), "key", name, digest, customer, from_ms))
-        return keys.label(name), text
+    def issue_key(self, customer: str, from_ms: float = 0.0) -> tuple[str, str]:
+        key_id, text = keys.generate()
+        digest = keys.digest(self.pepper, keys.parse(text)[1])
+        self.commit(Issue(keys.label(key_id), "key", key_id, digest, customer, from_ms))
+        return keys.label(key_id), text
 
-    def section(self, **changes) -> dict:
+    def settings(self, **changes) -> dict:
         return {
             "registry": f"127.0.0.1:{self.port}",
             "public_key": str(files.public_path(self.path)),
@@ -79,120 +79,120 @@
 
 
 @pytest.fixture
-def desk(tmp_path):
-    made = Desk(tmp_path)
+def registry(tmp_path):
+    made = RegistryFixture(tmp_path)
     yield made
     made.close()
     made.store.close()
 
 
-def gateway(rig, desk, folder, index: int = 0, **changes):
+def gateway(rig, registry, folder, index: int = 0, **changes):
     r = rig(
         plans=[],
-        identity=desk.section(**changes),
+        identity=registry.settings(**changes),
         instance={"state_dir": str(folder), "index": index, "gateways": 3},
     )
     return r
 
 
-def caught_up(desk, *rigs) -> None:
-    version = desk.store.history.state.version
+def wait_until_current(registry, *rigs) -> None:
+    version = registry.store.history.state.version
     wait_for(lambda: all(r.ingress.identity.version == version for r in rigs))
 
 
-def test_a_key_opens_the_door_in_either_header_and_goes_no_further(rig, desk, tmp_path) -> None:
-    r = gateway(rig, desk, tmp_path)
-    _, key = desk.key("anna")
+def test_key_is_accepted_in_either_header(rig, registry, tmp_path) -> None:
+    r = gateway(rig, registry, tmp_path)
+    _, key = registry.issue_key("anna")
     assert r.ask(token=key).status == 200
     assert r.ask(token=None, x_api_key=key).status == 200
     assert r.ask(token="good", x_api_key=key).status == 400
     assert {e["plan"] for e in r.entries("received")} == {"large@1"}
 
 
-def test_a_new_key_is_good_at_once_where_nobody_has_heard_of_it(rig, desk, tmp_path) -> None:
-    """The old and the new key at the same moment, on gateways that are told nothing by their long poll."""
-    rigs = [gateway(rig, desk, tmp_path, i) for i in range(3)]
-    caught_up(desk, *rigs)
+def test_new_key_is_accepted_at_once_by_gateways_that_have_not_received_it(rig, registry, tmp_path) -> None:
+    """Old and new key are used at the same moment, on gateways whose long polls are stopped."""
+    rigs = [gateway(rig, registry, tmp_path, i) for i in range(3)]
+    wait_until_current(registry, *rigs)
     for r in rigs:
-        r.ingress.identity.news.stop()
-    old_name, old = desk.key("anna")
+        r.ingress.identity.subscription.stop()
+    old_label, old = registry.issue_key("anna")
     for r in rigs:
         assert r.ask(token=old).status == 200
-    _, new = desk.key("anna")
-    desk.do(Retire(old_name, desk.now() + 60_000))
+    _, new = registry.issue_key("anna")
+    registry.commit(Retire(old_label, registry.now() + 60_000))
     asked = [gevent.spawn(r.ask, token=key) for r in rigs for key in (old, new)]
     gevent.joinall(asked)
     assert [a.value.status for a in asked] == [200] * 6
 
 
-def test_an_unknown_key_is_refused_once_the_registry_said_so_and_not_before(rig, desk, tmp_path) -> None:
-    r = gateway(rig, desk, tmp_path)
-    caught_up(desk, r)
-    _, unknown = keys.make()
+def test_unknown_key_is_refused_only_after_the_registry_confirmed_it(rig, registry, tmp_path) -> None:
+    r = gateway(rig, registry, tmp_path)
+    wait_until_current(registry, r)
+    _, unknown = keys.generate()
     assert r.ask(token=unknown).status == 401
-    desk.close()
+    registry.close()
     answer = r.ask(token=unknown)
     assert (answer.status, answer.outcome) == (503, "refused")
-    assert r.ask(token=keys.make()[1][:-1] + "u").status == 401  # mistyped: no look-up needed
+    assert r.ask(token=keys.generate()[1][:-1] + "u").status == 401  # mistyped: no look-up needed
 
 
-def test_many_unknown_keys_are_one_question_at_a_time(rig, desk, tmp_path) -> None:
-    r = gateway(rig, desk, tmp_path)
-    caught_up(desk, r)
-    asked = [gevent.spawn(r.ask, token=keys.make()[1]) for _ in range(60)]
+def test_many_unknown_keys_share_one_query_at_a_time(rig, registry, tmp_path) -> None:
+    r = gateway(rig, registry, tmp_path)
+    wait_until_current(registry, r)
+    asked = [gevent.spawn(r.ask, token=keys.generate()[1]) for _ in range(60)]
     gevent.joinall(asked)
     assert {a.value.status for a in asked} == {401}
     assert r.ingress.identity.confirmations.round < 30
 
 
-def test_the_registry_may_be_away_and_a_gateway_start_from_its_copy(rig, desk, tmp_path) -> None:
-    _, key = desk.key("anna")
-    first = gateway(rig, desk, tmp_path)
-    caught_up(desk, first)
-    desk.key("bert")
-    caught_up(desk, first)
-    desk.close()
+def test_gateway_starts_from_its_saved_copy_while_the_registry_is_down(rig, registry, tmp_path) -> None:
+    _, key = registry.issue_key("anna")
+    first = gateway(rig, registry, tmp_path)
+    wait_until_current(registry, first)
+    registry.issue_key("bert")
+    wait_until_current(registry, first)
+    registry.close()
     assert first.ask(token=key).status == 200
-    again = gateway(rig, desk, tmp_path)
+    again = gateway(rig, registry, tmp_path)
     assert again.ask(token=key).status == 200
     assert again.ingress.identity.version == first.ingress.identity.version
-    desk.open()
-    _, later = desk.key("bert")
-    caught_up(desk, first, again)
+    registry.open()
+    _, later = registry.issue_key("bert")
+    wait_until_current(registry, first, again)
     assert again.ask(token=later).status == 200
 
 
-def test_a_corrupted_copy_is_told_and_a_fresh_snapshot_taken(rig, desk, tmp_path) -> None:
-    _, key = desk.key("anna")
-    caught_up(desk, gateway(rig, desk, tmp_path))
+def test_corrupted_saved_copy_is_logged_and_replaced_by_a_snapshot(rig, registry, tmp_path) -> None:
+    _, key = registry.issue_key("anna")
+    wait_until_current(registry, gateway(rig, registry, tmp_path))
     file = tmp_path / "identity-0.bin"
     data = file.read_bytes()
     file.write_bytes(data[:50] + b"\0" + data[51:])
-    r = gateway(rig, desk, tmp_path)
-    caught_up(desk, r)
+    r = gateway(rig, registry, tmp_path)
+    wait_until_current(registry, r)
     assert r.ask(token=key).status == 200
     assert any(event == "identity.copy_faulty" for event, _ in r.logged)
 
 
-def test_without_registry_and_copy_nobody_is_let_in_or_turned_off(rig, desk, tmp_path) -> None:
-    _, key = desk.key("anna")
-    desk.close()
-    answer = gateway(rig, desk, tmp_path).ask(token=key)
+def test_without_registry_and_saved_copy_requests_get_503_and_no_401(rig, registry, tmp_path) -> None:
+    _, key = registry.issue_key("anna")
+    registry.close()
+    answer = gateway(rig, registry, tmp_path).ask(token=key)
     assert (answer.status, answer.outcome) == (503, "refused")
 
 
-def test_a_revocation_between_attempts_ends_the_request(rig, desk, tmp_path) -> None:
-    r = gateway(rig, desk, tmp_path)
-    name, key = desk.key("anna")
-    caught_up(desk, r)
+def test_revocation_between_attempts_ends_the_request(rig, registry, tmp_path) -> None:
+    r = gateway(rig, registry, tmp_path)
+    label, key = registry.issue_key("anna")
+    wait_until_current(registry, r)
     for server in r.servers:
         server.inject(Fault(kind="reset_after_run"))
     connect, done = r.ingress.pool.connect, []
 
     def late(*args):
         if r.entries("ran") and not done:
-            done.append(desk.do(Revoke(name, desk.now())))
-            caught_up(desk, r)
+            done.append(registry.commit(Revoke(label, registry.now())))
+            wait_until_current(registry, r)
         return connect(*args)
 
     r.ingress.pool.connect = late
@@ -202,28 +202,28 @@
     assert r.ask(token=key).status == 401
 
 
-def test_a_hand_over_has_requests_on_either_side(rig, desk, tmp_path) -> None:
-    r = gateway(rig, desk, tmp_path)
-    name, key = desk.key("anna")
-    at = desk.now() + 3_600_000
-    desk.do(Move(name, "bert", at))
-    caught_up(desk, r)
+def test_requests_before_and_after_a_transfer_count_for_different_customers(rig, registry, tmp_path) -> None:
+    r = gateway(rig, registry, tmp_path)
+    label, key = registry.issue_key("anna")
+    at = registry.now() + 3_600_000
+    registry.commit(Move(label, "bert", at))
+    wait_until_current(registry, r)
     assert r.ask(token=key).status == 200
     r.ingress.steady._base_ms = at - r.ingress.steady.now() + r.ingress.steady._base_ms
     assert r.ask(token=key).status == 200
     assert [e["customer"] for e in r.entries("received")] == ["1", "2"]
 
 
-def test_three_gateways_at_different_versions_charge_what_they_know(rig, desk, tmp_path) -> None:
-    """A plan change that one has not heard of: its requests and its counter names say the old version."""
-    rigs = [gateway(rig, desk, tmp_path, i) for i in range(3)]
-    _, key = desk.key("anna")
-    caught_up(desk, *rigs)
-    rigs[2].ingress.identity.news.stop()
-    desk.do(SetPlan("anna", "small", 1, desk.now() + 1.0))
-    caught_up(desk, *rigs[:2])
-    until = desk.now() + 50
-    wait_for(lambda: desk.now() > until)
+def test_gateways_at_different_versions_charge_the_plan_they_hold(rig, registry, tmp_path) -> None:
+    """A gateway that has not received a plan change still uses the old version in requests and counter names."""
+    rigs = [gateway(rig, registry, tmp_path, i) for i in range(3)]
+    _, key = registry.issue_key("anna")
+    wait_until_current(registry, *rigs)
+    rigs[2].ingress.identity.subscription.stop()
+    registry.commit(SetPlan("anna", "small", 1, registry.now() + 1.0))
+    wait_until_current(registry, *rigs[:2])
+    until = registry.now() + 50
+    wait_for(lambda: registry.now() > until)
     for r in rigs:
         r.ask(token=key)
     assert [[e["plan"] for e in r.entries("received")] for r in rigs] == [
@@ -232,84 +232,86 @@
         ["large@1"],
     ]
     versions = [r.ingress.core.gateway.name(0.0, r.ingress.core.gateway.customers[1])[0] >> 64 for r in rigs]
-    assert versions == [0, 0, 1]  # places in the list of plans
+    assert versions == [0, 0, 1]  # indexes into the list of plans
 
 
-def test_a_token_that_names_another_plan_is_told_once_and_not_obeyed(rig, desk, tmp_path) -> None:
-    r = gateway(rig, desk, tmp_path)
-    desk.do(Issue("till-1", "client", *keys.client_name("till-1"), "anna"))
+def test_token_that_names_another_plan_is_logged_once_and_the_registry_plan_applies(
+    rig, registry, tmp_path
+) -> None:
+    r = gateway(rig, registry, tmp_path)
+    registry.commit(Issue("till-1", "client", *keys.hash_client_id("till-1"), "anna"))
     for _ in range(3):
         assert r.ask(token="good").status == 200  # its claims say plan open
     assert {e["plan"] for e in r.entries("received")} == {"large@1"}
     assert sum(event == "identity.plan_contradicted" for event, _ in r.logged) == 1
-    assert r.ask(token="small").status == 403  # a good token of a client that is not registered
+    assert r.ask(token="small").status == 403  # a valid token of a client that is not registered
     assert r.ask("/switches", "POST", token="noscope").status == 403
 
 
-def test_a_restored_registry_is_followed_only_after_it_was_adopted(rig, desk, tmp_path) -> None:
+def test_restored_registry_is_followed_only_after_adoption(rig, registry, tmp_path) -> None:
     import shutil
 
-    name, key = desk.key("anna")
-    desk.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    shutil.copy(desk.path, tmp_path / "backup.db")
-    r = gateway(rig, desk, tmp_path)
-    desk.do(Revoke(name, desk.now()))
-    caught_up(desk, r)
-    desk.close()
-    desk.store.close()
+    label, key = registry.issue_key("anna")
+    registry.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    shutil.copy(registry.path, tmp_path / "backup.db")
+    r = gateway(rig, registry, tmp_path)
+    registry.commit(Revoke(label, registry.now()))
+    wait_until_current(registry, r)
+    registry.close()
+    registry.store.close()
     for old in tmp_path.glob("r.db-*"):
         old.unlink()
-    shutil.copy(tmp_path / "backup.db", desk.path)
-    desk.store = Store(desk.path)
-    desk.open()
+    shutil.copy(tmp_path / "backup.db", registry.path)
+    registry.store = Store(registry.path)
+    registry.open()
     wait_for(lambda: any(event == "identity.registry_went_back" for event, _ in r.logged))
     assert r.ask(token=key).status == 401
-    desk.do(Adopt(2))
+    registry.commit(Adopt(2))
     wait_for(lambda: r.ingress.identity.follower.tables.epoch == 2)
     assert r.ask(token=key).status == 200
 
 
-def test_uses_reach_the_store_for_the_audit(rig, desk, tmp_path) -> None:
-    r = gateway(rig, desk, tmp_path)
-    name, key = desk.key("anna")
+def test_uses_are_recorded_and_stored_for_the_audit(rig, registry, tmp_path) -> None:
+    r = gateway(rig, registry, tmp_path)
+    label, key = registry.issue_key("anna")
     r.ask(token=key)
     r.ask(token=key)
     assert [(list(k)[1], v[2]) for k, v in r.ingress.identity.uses.items()] == [("127.0.0.0/24", 2)]
-    desk.registry._use(b'[[%d,"127.0.0.0/24",1.0,2.0,2]]' % keys.read(key)[0])
-    assert desk.store.uses() == [(name, "127.0.0.0/24", 1.0, 2.0, 2)]
+    registry.server._record_uses(b'[[%d,"127.0.0.0/24",1.0,2.0,2]]' % keys.parse(key)[0])
+    assert registry.store.uses() == [(label, "127.0.0.0/24", 1.0, 2.0, 2)]
 
 
 @pytest.mark.parametrize("target", ["/v1/updates?after=x", "/v1/updates?chain=zz", "/nowhere"])
-def test_a_registry_asked_wrongly_says_so(desk, target) -> None:
+def test_registry_answers_malformed_requests_with_400_or_404(registry, target) -> None:
     from gevent import socket
     from rig import read_answer
 
-    sock = socket.create_connection(("127.0.0.1", desk.port))
+    sock = socket.create_connection(("127.0.0.1", registry.port))
     sock.sendall(f"GET {target} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
     assert read_answer(sock).status in (400, 404)
     sock.close()
 
 
-# ---- what a plan change does to a bucket
+# ---- the effect of a plan change on a bucket
 
 
 @pytest.mark.parametrize(
     ("old", "new", "used", "left"),
     [
-        (20, 100, 15, 85),  # up: the larger burst less what was used, not a second full one
-        (100, 20, 40, 20),  # down: what was granted and used is no debt
-        (100, 20, 95, 5),  # down: and not more than was left
+        (20, 100, 15, 85),  # upgrade: the larger burst less what was used, not a second full bucket
+        (100, 20, 40, 20),  # downgrade: use granted by the old plan is no debt
+        (100, 20, 95, 5),  # downgrade: no more than was left
         (100, 100, 30, 70),
     ],
 )
-def test_a_plan_change_carries_use_over(old, new, used, left) -> None:
+def test_plan_change_keeps_what_was_used(old, new, used, left) -> None:
     customer = Customer(Plan(1, old), 1, 0.0)
     customer.tokens -= used
     customer.change(Plan(1, new, version=1))
     assert customer.tokens == left
 
 
-def test_changing_to_and_fro_hands_out_no_second_bucket() -> None:
+def test_changing_plans_back_and_forth_grants_no_second_bucket() -> None:
     small, large = Plan(1, 20), Plan(1, 100, version=1)
     customer = Customer(small, 1, 0.0)
     spent = 0.0
@@ -320,7 +322,7 @@
     assert spent == 100
 
 
-def test_from_no_quota_to_one_begins_with_a_full_bucket() -> None:
+def test_change_from_no_quota_to_a_quota_starts_with_a_full_bucket() -> None:
     customer = Customer(Plan(0, 0), 1, 0.0)
     customer.tokens -= 5000
     customer.change(Plan(1, 20, version=1))
