--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -77,7 +77,7 @@
     """One snapshot of so many customers with a promise each, beside a beat."""
     gateway, recorder = life(folder, lambda: START)
     for number in range(customers):
-        gateway.customer(START, arrived(number, number)).return_time(START, 1.0, 0.0)
+        gateway.customer_for(START, arrived(number, number)).schedule_return(START, 1.0, 0.0)
         gateway.customers[number].end_of_queue_time = START + 60_000
         recorder.tracked[number] = None
     gc.collect()
--- a/tamarindfold/__init__.py
+++ b/tamarindfold/__init__.py
@@ -1,4 +1,4 @@
-"""tamarindfold: the decisions of an admission gateway for a service sold by plan."""
+"""tamarindfold: an API gateway that keeps quotas and priorities across a fleet of instances."""
 
 from tamarindfold.choice import Gateway
 from tamarindfold.interface import Settings
--- a/tamarindfold/bench/__init__.py
+++ b/tamarindfold/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' bench: its wire and the adapter; needs the standard library only."""
+"""The adapter for the operators' simulator and its binary protocol; uses the standard library only."""
--- a/tamarindfold/bench/settings.py
+++ b/tamarindfold/bench/settings.py
@@ -1,4 +1,4 @@
-"""The deployment's settings by the names of the simulator's first message, which the platform uses too."""
+"""Reads the settings by the names that the simulator's first message and the platform give them."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class SettingsError(ValueError):
-    """A setting that is missing or malformed: which one, and why."""
+    """A setting is missing or malformed; the text names the setting and the reason."""
 
 
 _EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 
 
-def choice(kind: Callable[[Any], Any], value: Any, what: str) -> Any:
-    """One of an enumeration's values; SettingsError names what is unknown."""
+def enum_member(enumeration: Callable[[Any], Any], value: Any, name: str) -> Any:
+    """The member of an enumeration with this value; SettingsError if there is none."""
     try:
-        return kind(value)
+        return enumeration(value)
     except ValueError:
-        raise SettingsError(f"{what}: {value!r} is unknown") from None
+        raise SettingsError(f"{name}: {value!r} is unknown") from None
 
 
 class Reader:
-    """Typed look-ups in the settings by path; missing or malformed values are named."""
+    """Typed access to settings by path; SettingsError for a missing or malformed value."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
@@ -42,24 +42,26 @@
         except ValueError:
             raise SettingsError(f"settings: {key}: {value!r} is not a number") from None
 
-    def whole(self, key: str, default: int | None = None) -> int:
+    def integer(self, key: str, default: int | None = None) -> int:
         value = self.number(key, default)
         if not value.is_integer():
             raise SettingsError(f"settings: {key}: {value!r} is not a whole number")
         return int(value)
 
-    def truth(self, key: str) -> bool:
+    def boolean(self, key: str) -> bool:
+        """A missing value is false."""
         value = self.text(key, "false")
         if value not in ("true", "false"):
             raise SettingsError(f"settings: {key}: {value!r} is neither true nor false")
         return value == "true"
 
-    def items(self, key: str) -> list[str]:
-        return [f"{key}.{i}." for i in range(self.whole(f"{key}.count"))]
+    def item_prefixes(self, key: str) -> list[str]:
+        """The key prefix of each item of a list."""
+        return [f"{key}.{i}." for i in range(self.integer(f"{key}.count"))]
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings text, a line for each path."""
+    """Read settings from text with one `path=value` a line."""
     values: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         key, equals, value = line.partition("=")
@@ -70,9 +72,9 @@
 
 
 def read_settings(r: Reader) -> Settings:
-    """What the module is told; unknown keys are ignored."""
+    """The settings for one gateway; unknown keys are ignored."""
     classes = []
-    for c in r.items("categories"):
+    for c in r.item_prefixes("categories"):
         effect = r.text(c + "idempotency")
         if effect not in _EFFECTS:
             raise SettingsError(f"settings: {c}idempotency: {effect!r} is unknown")
@@ -82,7 +84,7 @@
                 r.number(c + "hard_limit"),
                 r.number(c + "points"),
                 _EFFECTS[effect],
-                choice(Group, r.text(c + "group", "all"), f"settings: {c}group"),
+                enum_member(Group, r.text(c + "group", "all"), f"settings: {c}group"),
                 r.number(c + "dedup_window", 0),
                 r.number(c + "late_worth", 0),
                 r.text(c + "name", ""),
@@ -92,7 +94,7 @@
         Plan(
             r.number(p + "per_second"),
             r.number(p + "peak_units"),
-            r.whole(p + "at_once", 0),
+            r.integer(p + "at_once", 0),
             r.number(p + "price", 1),
             r.number(p + "over_worth", 0),
             r.number(p + "excess_cost", 0),
@@ -101,36 +103,36 @@
             r.number(p + "tolerance", 0),
             r.text(p + "name", ""),
         )
-        for p in r.items("plans")
+        for p in r.item_prefixes("plans")
     ]
-    reported = r.text("telemetry.via", "off") != "off" and r.text("telemetry.fields", "")
+    report_fields = r.text("telemetry.via", "off") != "off" and r.text("telemetry.fields", "")
     return Settings(
-        gateways=r.whole("balancers"),
-        index=r.whole("index"),
+        gateways=r.integer("balancers"),
+        index=r.integer("index"),
         classes=tuple(classes),
         plans=tuple(plans),
-        max_attempts=r.whole("permissions.most_tries"),
+        max_attempts=r.integer("permissions.most_tries"),
         start_capacity=r.number("safety.start_capacity"),
         cold_ms=r.number("safety.cold"),
         fall_multiple=r.number("safety.fall_multiple"),
         overload_ms=r.number("safety.overload_for"),
         drain_grace_ms=r.number("safety.stop_sending_within"),
         answer_grace_ms=r.number("safety.grace_to_answer", 0),
-        zone=r.whole("locality", 0),
+        zone=r.integer("locality", 0),
         tick_ms=r.number("quantum", 1),
         most_units=r.number("extra.units_top", 1),
-        marks_retry=r.truth("clients.marks_retry"),
-        retry_after=r.truth("permissions.retry_after"),
+        marks_retry=r.boolean("clients.marks_retry"),
+        retry_after=r.boolean("permissions.retry_after"),
         max_retry_after_ms=r.number("permissions.max_retry_after", 0),
-        second_copies=r.truth("permissions.parallel_tries"),
-        cancel=r.truth("permissions.cancel"),
-        probes=r.truth("permissions.probes"),
-        peers=r.truth("permissions.may_tell"),
+        second_copies=r.boolean("permissions.parallel_tries"),
+        cancel=r.boolean("permissions.cancel"),
+        probes=r.boolean("permissions.probes"),
+        peers=r.boolean("permissions.may_tell"),
         peer_in_per_s=r.number("extra.peer_intake", 0),
-        counter=r.truth("extra.has_counter"),
+        counter=r.boolean("extra.has_counter"),
         counter_timeout_ms=r.number("extra.count_wait", 0),
         counter_price=r.number("extra.counter_price", 0),
         meter_ms=r.number("extra.meter", 0),
-        settled_after=r.truth("extra.cost_after"),
-        report_fields=tuple(reported.split(",")) if reported else (),
+        settled_after=r.boolean("extra.cost_after"),
+        report_fields=tuple(report_fields.split(",")) if report_fields else (),
     )
--- a/tamarindfold/choice.py
+++ b/tamarindfold/choice.py
@@ -1,4 +1,8 @@
-"""Every decision of the gateway; its settings, events and actions are in tamarindfold/interface.py."""
+"""All decisions of a gateway; its settings, events and actions are defined in tamarindfold/interface.py.
+
+The module is deterministic: it has no clock and no I/O, and all randomness comes from one seeded generator.
+Times are milliseconds on the caller's clock.
+"""
 
 from __future__ import annotations
 
@@ -18,116 +22,178 @@
     Cancel,
     Count,
     CountAnswered,
+    CustomerSnapshot,
     Effect,
     Event,
+    ExternalUse,
     Fail,
     FleetUpdate,
+    GatewayStalled,
     Group,
     ListKind,
     Outcome,
     Plan,
     PlansChanged,
     Refuse,
-    Remembered,
     RequestArrived,
     RequestClass,
     RequestWithdrawn,
-    Restored,
     Send,
     Settings,
     SettingsChanged,
-    StoodStill,
-    UsePassed,
+    StateRestored,
     Why,
 )
 
-# ---- tuned constants
-RAISE, FALL = 1.5, 0.5  # a dry slice grows by half (design page); an over-used one loses half of its growth
-ROOM, SPENT = 0.9, 0.25  # of the burst: a fuller shared store has room for all; an emptier one is over-used
-RESERVE = 0.1  # of the slice's burst: what only marked retries may take
-NO_SHOW_MS = 2000.0  # a marked retry this late has given up; it would hold its place in the queue for ever
-SECOND_MS, NAME_TTL_MS = 1000.0, 60_000.0  # how often a slice may grow; the longest life of a counter's name
-DRIFT = 0.5  # of the burst: a count this far from the store is put right by a call of its own
-LUMP, CROWDED = 0.08, 0.4  # of the burst: reported at once; calling less freely leaves calls out by chance
-ASK_FIRST, ASK_LEAST = 0.5, 0.01  # how freely the counter is called: at start, at least
-ASK_LESS, ASK_MORE = 0.7, 0.04  # what a late and a prompt answer do to that
-LATE_ANSWER = 0.5  # of the counter's time-out: an answer this slow is a sign of a crowded counter
-KEEP, LEARN = 0.9, 0.01  # weight of the past in moving means; how far an answer moves what a class takes
-BLAME, DREAD = 0.3, 10.0  # how far a bad or a rare sign moves a backend, toward what
-FORGIVE_MS, TOUCHES = 3000.0, 2.0  # a sign fades to a third in this time, or in so many times between signs
-TIE = 1.15  # backends within this factor of the best are as good: choose at random, so that no herd forms
-NEAR, LOOK = 5, 16  # backends that a gateway keeps to, so that it knows them; and compares for one send
-COLD_PART = 0.8  # of the work that would push over a cold backend of the least speed, all gateways together
-RETRY_PART, RETRY_MOST = 0.1, 10.0  # further attempts earned by each first try; saved up at most
-PATIENCE, CHEAP_PATIENCE = 0.33, 0.25  # of the aim: the forecast that work of most and of no worth may meet
-SPARE_PATIENCE = 0.5  # of that: what requests beyond their quota may meet
-RESOLVE = 16.0  # how sharply sends thin out while the forecast passes the patience
+# ---- a customer's share of its quota
+
+SHARE_ADJUST_INTERVAL_MS = 1000.0
+SHARE_GROWTH_FACTOR = 1.5  # applied to the share of a customer whose bucket ran dry
+SHARE_DECAY_FACTOR = 0.5  # applied to what an over-used customer's share has beyond the even split
+SHARED_ROOM_FRACTION = 0.9  # of the burst: a shared bucket above this level has room for every gateway
+SHARED_OVERUSE_FRACTION = 0.25  # of the burst: below this level of the shared bucket the quota is over-used
+RETRY_RESERVE_FRACTION = 0.1  # of the local bucket: kept for retries that the client has marked
+APPOINTMENT_GRACE_MS = 2000.0  # a later retry is not expected; its place in the queue becomes free
+
+# ---- the shared counter
+
+COUNTER_NAME_TTL_MS = 60_000.0  # a customer is counted under a new name after this time
+MAX_DRIFT_FRACTION = 0.5  # of the burst: a total further off than this is corrected by a call of its own
+REPORT_BATCH_FRACTION = 0.08  # of the burst: units that are reported with one call
+BUSY_HEADROOM = 0.4  # with less headroom than this, calls to the counter are left out at random
+INITIAL_HEADROOM = 0.5
+MIN_HEADROOM = 0.01
+HEADROOM_DECREASE_FACTOR = 0.7  # after a late answer
+HEADROOM_INCREASE = 0.04  # after a prompt answer
+LATE_ANSWER_FRACTION = 0.5  # of the counter's time-out: a slower answer is a sign of an overloaded counter
+
+# ---- the health of backends
+
+EWMA_DECAY = 0.9  # weight of the old value in moving averages
+UNIT_TIME_LEARNING_RATE = 0.01  # how far one answer moves the expected time of its class
+FAILURE_WEIGHT = 0.3  # of a failure in a moving average; also the most that a rare observation gets
+FAILURE_SLOWNESS = 10.0  # the slowness that a failure is rated with, at least
+MIN_DECAY_MS = 3000.0  # an observation fades to a third within this time,
+DECAY_GAPS = 2.0  # or within this many gaps between observations, whichever is longer
+MAX_GAP_MS = 60_000.0  # a gap this long does not extend the decay time
+
+# ---- the choice of a backend
+
+NEAR_TIE_FACTOR = 1.15  # a random choice among backends this close to the best prevents a thundering herd
+MIN_SUBSET_SIZE = 5  # backends that a gateway uses, and gateways that use a backend, at least
+MAX_CANDIDATES = 16  # backends compared for one attempt
+COLD_BUDGET_FRACTION = 0.8  # of the work, from all gateways, that would overload a cold backend
+RETRY_TOKENS_PER_TRY = 0.1  # further attempts that each client's try adds to the retry budget
+MAX_RETRY_TOKENS = 10.0
+MAX_WAIT_FRACTION = 0.33  # of the aim: the longest expected wait of the classes of most worth per ms
+CHEAP_MAX_WAIT_FRACTION = 0.25  # the same for classes of no worth
+OVER_QUOTA_WAIT_FACTOR = 0.5  # applied to the longest wait of requests beyond their quota
+SHEDDING_EXPONENT = 16.0  # how sharply the admitted fraction falls as the wait exceeds its limit
 
 
 class Slowness:
-    """Time taken over time expected: the one measure of health, of a backend for a class or of the fleet."""
+    """The time that work takes relative to the time expected: 1 is normal, more is slower.
+
+    A moving average that decays towards a baseline. It is kept for each backend and class, and for the fleet.
+    """
 
     def __init__(self) -> None:
-        self.value, self.at, self.memory_ms = 1.0, -inf, FORGIVE_MS
+        self.value = 1.0
+        self.updated_at = -inf
+        self.decay_ms = MIN_DECAY_MS  # the time in which the deviation from the baseline falls to a third
 
-    def now(self, now: float, usual: float = 1.0) -> float:
-        """Forgotten as its last sign ages, by how often signs come, until what is usual is believed."""
-        return usual + (self.value - usual) * 3 ** ((self.at - now) / self.memory_ms)
+    def current(self, now: float, baseline: float = 1.0) -> float:
+        """The average at this time, decayed towards the baseline since the last observation."""
+        return baseline + (self.value - baseline) * 3 ** ((self.updated_at - now) / self.decay_ms)
 
-    def sign(self, now: float, value: float, weight: float, usual: float = 1.0) -> None:
-        """Take in a sign, bad or good; a rare one weighs as much as the many it stands for."""
-        weight = max(weight, min(BLAME, 1 - 3 ** ((self.at - now) / self.memory_ms)))
-        self.value = self.now(now, usual) + (value - self.now(now, usual)) * weight
-        gap, self.at = now - max(self.at, now - NAME_TTL_MS), now
-        self.memory_ms = max(FORGIVE_MS, TOUCHES * gap) if gap < NAME_TTL_MS else FORGIVE_MS
+    def observe(self, now: float, value: float, weight: float, baseline: float = 1.0) -> None:
+        """Add an observation; after a long gap it gets more than the given weight."""
+        weight = max(weight, min(FAILURE_WEIGHT, 1 - 3 ** ((self.updated_at - now) / self.decay_ms)))
+        self.value = self.current(now, baseline) + (value - self.current(now, baseline)) * weight
+        gap = now - max(self.updated_at, now - MAX_GAP_MS)
+        self.updated_at = now
+        self.decay_ms = max(MIN_DECAY_MS, DECAY_GAPS * gap) if gap < MAX_GAP_MS else MIN_DECAY_MS
 
 
 class Customer:
-    """One customer's slice of its quota here, and the virtual queue of those it was refused for."""
-
-    def __init__(self, plan: Plan, width: int, now: float, number: int = 0, debt: float = 0.0) -> None:
-        self.plan, self.even, self.number = plan, 1 / width, number
-        self.share, self.tokens = self.even, plan.burst * self.even
-        self.cap_tokens = 0.0  # a restarted gateway cannot know what it spent of the ceiling
-        self.filled_at = self.end_of_queue_time = now
-        self.appointments: deque[float] = deque()
-        self.answers, self.unit_sum, self.unit_squares = 0, 0.0, 0.0
-        self.debt = debt  # own use that is not counted yet; below nought: counted, but not used
-        self.store, self.told_at = plan.burst, -inf  # the shared store as the counter's last answer showed it
-        self.left = 1.0  # the part of the quota that was left over since the counter's name began
-        self.followed_at, self.dry = now, False
-        self.let_in, self.turned = 0.0, 0.0  # units decided here by belief since the counter last told
-        self.forgiven = 0.0  # use that a smaller plan let pass and a larger one would count again
+    """One customer at this gateway: its share of the quota, and the virtual queue of its refused clients.
+
+    width: the number of gateways that the quota is divided among.
+    """
+
+    def __init__(
+        self, plan: Plan, width: int, now: float, number: int = 0, unreported_units: float = 0.0
+    ) -> None:
+        self.plan = plan
+        self.number = number
+        self.even_share = 1 / width
+        self.share = self.even_share  # this gateway's part of rate and burst
+        self.tokens = plan.burst * self.even_share  # in the local bucket; below zero: admitted on credit
+        self.cap_tokens = 0.0  # of the ceiling; starts empty, for a restarted gateway may have spent it all
+        self.refilled_at = now
+        self.end_of_queue_time = now
+        self.appointments: deque[float] = deque()  # when refused clients were told to come back
+        # number, sum and sum of squares of the units of answered requests
+        self.answers = 0
+        self.unit_sum = 0.0
+        self.unit_squares = 0.0
+        self.unreported_units = unreported_units  # used but not counted; below zero: counted but not used
+        self.shared_tokens = plan.burst  # in the shared bucket, by the counter's last answer
+        self.counted_at = -inf  # time of that answer
+        self.unused_fraction = 1.0  # of the quota granted since the counter's current name began
+        self.share_adjusted_at = now
+        self.ran_dry = False  # whether the local bucket lacked units since the share was last adjusted
+        # units decided without asking the counter since its last answer
+        self.admitted_unasked = 0.0
+        self.refused_unasked = 0.0
+        # use that a change to a smaller plan has written off; a change to a larger plan counts it again
+        self.waived_units = 0.0
 
     def refill(self, now: float) -> None:
-        """Fill bucket and ceiling for the time gone by."""
-        gone, self.filled_at, plan = (now - self.filled_at) / 1000, now, self.plan
-        self.tokens = min(plan.burst * self.share, self.tokens + gone * plan.rate * self.share)
-        self.forgiven = max(0.0, self.forgiven - gone * plan.rate * self.share)
-        cap = plan.ceiling_burst * self.even
-        self.cap_tokens = min(cap, self.cap_tokens + gone * plan.ceiling_rate * self.even)
-
-    def change(self, plan: Plan) -> None:
-        """Another plan: what was used stays used, and what the old one granted is no debt under the new."""
-        old, full = self.plan, plan.burst * self.share
+        """Fill the bucket and the ceiling for the time since the last call."""
+        plan = self.plan
+        elapsed_s = (now - self.refilled_at) / 1000
+        self.refilled_at = now
+        self.tokens = min(plan.burst * self.share, self.tokens + elapsed_s * plan.rate * self.share)
+        self.waived_units = max(0.0, self.waived_units - elapsed_s * plan.rate * self.share)
+        cap = plan.ceiling_burst * self.even_share
+        self.cap_tokens = min(cap, self.cap_tokens + elapsed_s * plan.ceiling_rate * self.even_share)
+
+    def change_plan(self, plan: Plan) -> None:
+        """Move to another plan: use carries over, but use that the old plan allowed leaves no debt."""
+        old = self.plan
+        full = plan.burst * self.share
         if old.rate:
-            carried = full - (old.burst * self.share - self.tokens) - self.forgiven
+            carried = full - (old.burst * self.share - self.tokens) - self.waived_units
             self.tokens = max(min(self.tokens, full), carried)
-            self.forgiven = self.tokens - carried
-            self.store = max(min(self.store, plan.burst), plan.burst - (old.burst - self.store))
+            self.waived_units = self.tokens - carried
+            self.shared_tokens = max(
+                min(self.shared_tokens, plan.burst), plan.burst - (old.burst - self.shared_tokens)
+            )
         else:
-            self.tokens, self.store, self.debt = full, plan.burst, min(self.debt, 0.0)
+            self.tokens = full
+            self.shared_tokens = plan.burst
+            self.unreported_units = min(self.unreported_units, 0.0)
         self.plan = plan
 
     def resize(self, now: float, width: int) -> None:
-        """Another part of the quota: it shrinks with the next refill, and what it grows by comes empty."""
+        """Divide the quota among another number of gateways.
+
+        A smaller share cuts the tokens at the next refill; a larger one adds none until then.
+        """
         self.refill(now)
-        self.share, self.even = min(1.0, self.share / self.even / width), 1 / width
+        self.share = min(1.0, self.share / self.even_share / width)
+        self.even_share = 1 / width
 
-    def return_time(self, now: float, units: float, no_show: float) -> float:
-        """DIBA (the paper's Algorithm 6): how long the refused client is to stay away."""
-        while self.appointments and self.appointments[0] <= now - no_show:
-            self.appointments.popleft()  # kept, or never will be
+    def schedule_return(self, now: float, units: float, grace_ms: float) -> float:
+        """How long a refused client is to stay away, in ms (DIBA, Algorithm 6 of the paper).
+
+        The client is appended to a virtual queue that is served at the rate at which this gateway's share of
+        the quota admits requests. units: those of the request, used until the customer's mean is known.
+        grace_ms: how long an appointment is kept after its time.
+        """
+        while self.appointments and self.appointments[0] <= now - grace_ms:
+            self.appointments.popleft()
         mean = self.unit_sum / self.answers if self.answers else units
         variance = self.unit_squares / self.answers - mean * mean if self.answers >= 2 else 0.0
         fill = self.plan.rate * self.share if self.plan.rate else mean
@@ -143,59 +209,80 @@
         self.appointments.append(back_at)
         return back_at - now
 
-    def follow(self, now: float, over: bool) -> None:
-        """Each second: a dry slice of a customer under quota grows, that of one over it falls back."""
-        if now - self.followed_at >= SECOND_MS:
-            grows = self.dry and self.store > ROOM * self.plan.burst
-            fallen = max(self.even, self.share - (self.share - self.even) * FALL)
-            self.share = fallen if over else min(1.0, self.share * RAISE) if grows else self.share
-            self.followed_at, self.dry = now, False
+    def adjust_share(self, now: float, overused: bool) -> None:
+        """Adjust the share, at most once per interval.
 
-    def thin(self, units: float) -> bool:
-        """Whether a full bucket here would not hold this much: then only the counter can tell."""
+        The share of an over-used quota falls back towards the even split. Otherwise the share grows if the
+        local bucket ran dry while the shared bucket has room.
+        """
+        if now - self.share_adjusted_at >= SHARE_ADJUST_INTERVAL_MS:
+            grows = self.ran_dry and self.shared_tokens > SHARED_ROOM_FRACTION * self.plan.burst
+            decayed = max(self.even_share, self.share - (self.share - self.even_share) * SHARE_DECAY_FACTOR)
+            if overused:
+                self.share = decayed
+            elif grows:
+                self.share = min(1.0, self.share * SHARE_GROWTH_FACTOR)
+            self.share_adjusted_at = now
+            self.ran_dry = False
+
+    def exceeds_bucket(self, units: float) -> bool:
+        """Whether even a full local bucket is too small for this request: then only the counter can tell."""
         return self.plan.burst * self.share < units
 
-    def room(self, now: float, refill: float) -> float:
-        """The chance that a try beyond the bucket still finds its units in the shared store.
+    def estimated_fill(self, now: float, refill_fraction: float) -> float:
+        """The estimated level of the shared bucket, relative to the level at which it has room for all.
 
-        refill: the part of the quota's rate that is believed to have come back since it was told.
+        It serves as the chance that a request beyond the local bucket is within the quota; it may exceed 1.
+        refill_fraction: the part of the rate that is assumed to have been added since the last answer.
         """
-        believed = self.store + refill * (now - self.told_at) / 1000 * self.plan.rate
-        believed += min(0.0, self.tokens)  # what was lent here and is not told yet
-        return believed / (ROOM * self.plan.burst) if self.plan.burst else 0.0
+        estimate = self.shared_tokens + refill_fraction * (now - self.counted_at) / 1000 * self.plan.rate
+        estimate += min(0.0, self.tokens)  # admitted on credit here, and not reported yet
+        return estimate / (SHARED_ROOM_FRACTION * self.plan.burst) if self.plan.burst else 0.0
 
-    def told(self, now: float, before: float, use: float, age_ms: float) -> float:
-        """One answer tells the shared store by itself; gives what the name lacks, or has too much of."""
+    def apply_count(self, now: float, before: float, use: float, age_ms: float) -> float:
+        """Update the shared and the local bucket from one answer of the counter.
+
+        before: the total ahead of this call. use: the units that the call added. age_ms: how long the name
+        has been in use. Returns the units to add to the total so that it fits the bucket again: above zero
+        where more than a burst was left unused, below zero where the total was corrected twice.
+        """
         plan = self.plan
-        granted, full = plan.burst + age_ms / 1000 * plan.rate, plan.burst
+        granted = plan.burst + age_ms / 1000 * plan.rate
+        full = plan.burst
         level = granted - before
-        self.left = min(1.0, max(0.0, level / granted))
-        if before < 0.01:  # a fresh or lost name: what was missing still is
-            full = min(full, self.store + (now - self.told_at) / 1000 * plan.rate)
-        self.store, self.told_at = min(full, level) - use, now
-        part = self.store * self.share if self.store > ROOM * plan.burst else 0.0
-        self.tokens = max(part, min(self.tokens, self.store)) - max(0.0, self.debt)
-        self.follow(now, self.store < SPENT * plan.burst)
-        if use > 0 and level < -DRIFT * plan.burst:  # what is beyond does not count: it was put right twice
+        self.unused_fraction = min(1.0, max(0.0, level / granted))
+        if before < 0.01:  # a new or lost name: units that were missing before are missing still
+            full = min(full, self.shared_tokens + (now - self.counted_at) / 1000 * plan.rate)
+        self.shared_tokens = min(full, level) - use
+        self.counted_at = now
+        has_room = self.shared_tokens > SHARED_ROOM_FRACTION * plan.burst
+        part = self.shared_tokens * self.share if has_room else 0.0
+        self.tokens = max(part, min(self.tokens, self.shared_tokens)) - max(0.0, self.unreported_units)
+        self.adjust_share(now, self.shared_tokens < SHARED_OVERUSE_FRACTION * plan.burst)
+        # use beyond the quota is taken back from the counter, so a total this high was corrected twice
+        if use > 0 and level < -MAX_DRIFT_FRACTION * plan.burst:
             return level
         return max(0.0, level - full)
 
 
-Sent = tuple[float, float, float, int]  # an attempt that is out: when, work, pile it met, class
+# an outstanding attempt: time of sending, work in ms, the backend's queue factor at that time, class
+SentAttempt = tuple[float, float, float, int]
 
 
 class Backend:
     """What this gateway knows of one backend."""
 
     def __init__(self, entry: BackendEntry, classes: int) -> None:
-        self.entry, self.load = entry, 0.0  # work outstanding from here
-        self.heard_at = -inf  # when it last answered anything: one lost connection is no silent backend
-        self.out: dict[tuple[int, int], Sent] = {}
+        self.entry = entry
+        self.load = 0.0  # work outstanding from this gateway, in ms
+        self.last_answer_at = -inf  # of any request: tells a lost connection from a silent backend
+        self.outstanding: dict[tuple[int, int], SentAttempt] = {}  # by request and attempt
         self.slowness = [Slowness() for _ in range(classes)]
-        self.cold_turn, self.cold_left = -1.0, 0.0  # the work it may still get in this window
+        self.cold_window = -1.0  # number of the time window that the budget is for
+        self.cold_budget_ms = 0.0  # work that this gateway may still send in the window
 
     def warmth(self, now: float, settings: Settings) -> float:
-        """The part of its capacity that is guaranteed at this time since its start."""
+        """The fraction of its capacity that a backend is guaranteed to have this long after its start."""
         age = now - self.entry.up_since_ms
         if not self.entry.up_since_ms or age >= settings.cold_ms:
             return 1.0
@@ -203,116 +290,142 @@
 
 
 class Call:
-    """A request not yet answered: what has been tried and what may have run."""
+    """A request without a final answer: the backends it was sent to, and whether it may have run."""
 
     def __init__(
-        self, event: RequestArrived, cls: RequestClass, customer: Customer, now: float, work: float
+        self, event: RequestArrived, cls: RequestClass, customer: Customer, now: float, work_ms: float
     ) -> None:
-        self.event, self.cls, self.customer, self.work = event, cls, customer, work
-        self.give_up, self.aim = now + event.time_left_ms, now + min(cls.aim_ms, event.time_left_ms)
-        self.tried: list[Backend] = []
+        self.event = event
+        self.cls = cls
+        self.customer = customer
+        self.work_ms = work_ms  # expected time on an idle backend
+        self.deadline = now + event.time_left_ms
+        self.aim_at = now + min(cls.aim_ms, event.time_left_ms)
+        self.attempted: list[Backend] = []  # one for each attempt
         self.may_have_run = False
-        self.ran_group: tuple[Group, int] | None = None
-        self.ran_until = inf
-        self.counted = 0.0  # what the counter was told for it
+        self.dedup_group: tuple[Group, int] | None = None  # the backends that drop a repeat
+        self.dedup_until = inf
+        self.counted_units = 0.0  # added to the counter for this request
 
 
 class Gateway:
-    """Decides for one gateway; hand it every event and carry out the actions it gives back."""
+    """The decisions of one gateway: hand it every event, and carry out the actions that it returns."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.random = settings, Random(seed)
-        self.counting = settings.counter and not settings.meter_ms
+        self.settings = settings
+        self.random = Random(seed)
+        self.uses_counter = settings.counter and not settings.meter_ms
         self.backends: dict[int, Backend] = {}
-        self.customers: dict[int, Customer] = {}
-        self.counts: dict[int, deque[tuple[Customer, float, float, Call | None]]] = {}  # calls not answered
+        self.customers: dict[int, Customer] = {}  # in the order of their last use, the longest idle first
+        # unanswered calls to the counter by name, oldest first: customer, use, correction, held request
+        self.pending_counts: dict[int, deque[tuple[Customer, float, float, Call | None]]] = {}
         self.calls: dict[int, Call] = {}
-        self.rings: dict[tuple[Group, int], list[int]] = {(Group.ALL, 0): []}  # ready backends, by group
-        self.slowness = Slowness()  # of the fleet as a whole
-        self.asking, self.retries = ASK_FIRST, RETRY_MOST
-        self.account = dict.fromkeys(  # units of tries, for the log: how they were decided, what that came to
+        # ready backends by group, sorted
+        self.rings: dict[tuple[Group, int], list[int]] = {(Group.ALL, 0): []}
+        self.fleet_slowness = Slowness()
+        self.counter_headroom = INITIAL_HEADROOM  # 0 to 1: how freely the counter may be called
+        self.retry_tokens = MAX_RETRY_TOKENS
+        # Units of tries, for the log. Decided after a counter call (asked) or without one: admitted (unasked)
+        # or refused (refused_unasked). Admitted beyond the quota on purpose (over_known) or, as the next
+        # answer showed, by mistake (over_unknown); refused by mistake (refused_with_room).
+        self.account = dict.fromkeys(
             ("asked", "unasked", "over_known", "over_unknown", "refused_unasked", "refused_with_room"), 0.0
         )
-        self.stake = 0.0  # what is lost by a try let in beyond its quota, of those met lately
-        self.fits = 1.0  # the part of first tries asked for that found room: those not asked for are alike
-        self.unit_ms = [cls.aim_ms / 10 for cls in settings.classes]  # time a unit takes on an idle backend
-        self.mean_work = self.asked_unit_ms = sum(self.unit_ms) / len(self.unit_ms)  # of sends, of tries
-        self.grown_at, self.grown_from = 0.0, 1  # when this part of the quotas last grew, and from which
-        self.woke_at = -inf  # what was sent before tells nothing of the backends: this gateway stood still
+        self.mean_overrun_cost = 0.0  # moving average of the cost of admitting a request beyond its quota
+        # moving average: the part of customers' first counter calls that granted the held request
+        self.first_count_granted_fraction = 1.0
+        self.unit_ms = [cls.aim_ms / 10 for cls in settings.classes]  # time of one unit on an idle backend
+        # moving averages of the work of attempts, and of the unit time of tries
+        self.mean_work_ms = self.mean_unit_ms = sum(self.unit_ms) / len(self.unit_ms)
+        # when this gateway's part of the quotas last grew, and among how many they were divided before
+        self.share_grown_at = 0.0
+        self.gateways_before = 1
+        self.resumed_at = -inf  # end of this gateway's last stall: older attempts say nothing of the backends
         self.actions: Actions = []
         self.handlers: dict[type, Callable[[float, Any], None]] = {
-            RequestArrived: self.arrived,
-            AttemptEnded: self.ended,
-            CountAnswered: self.count_answered,
-            FleetUpdate: self.fleet,
-            RequestWithdrawn: self.withdrawn,
-            PlansChanged: self.plans_changed,
-            SettingsChanged: self.settings_changed,
-            UsePassed: self.passed,
-            StoodStill: self.stood_still,
-            Restored: self.restored,
+            RequestArrived: self.on_request_arrived,
+            AttemptEnded: self.on_attempt_ended,
+            CountAnswered: self.on_count_answered,
+            FleetUpdate: self.on_fleet_update,
+            RequestWithdrawn: self.on_request_withdrawn,
+            PlansChanged: self.on_plans_changed,
+            SettingsChanged: self.on_settings_changed,
+            ExternalUse: self.on_external_use,
+            GatewayStalled: self.on_gateway_stalled,
+            StateRestored: self.on_state_restored,
         }
 
     def handle(self, now: float, event: Event) -> Actions:
-        """Take in one event; the actions are to be carried out in order."""
+        """Process one event; the actions returned are to be carried out in order."""
         self.actions = []
         if handler := self.handlers.get(type(event)):
             handler(now, event)
         return self.actions
 
-    def withdrawn(self, now: float, event: RequestWithdrawn | AttemptEnded) -> None:
-        """Nobody waits any more: what is still out is called off."""
+    def on_request_withdrawn(self, now: float, event: RequestWithdrawn | AttemptEnded) -> None:
+        """Drop a request that needs no answer any more, and cancel its outstanding attempt."""
         call = self.calls.pop(event.request, None)
-        if call and call.tried and self.settings.cancel:
-            last = len(call.tried) - 1
-            if (event.request, last) in call.tried[-1].out:
+        if call and call.attempted and self.settings.cancel:
+            last = len(call.attempted) - 1
+            if (event.request, last) in call.attempted[-1].outstanding:
                 self.actions.append(Cancel(event.request, last))
 
-    def plans_changed(self, now: float, event: PlansChanged) -> None:
-        """A customer meets its new plan with its next request."""
+    def on_plans_changed(self, now: float, event: PlansChanged) -> None:
+        """Replace the plans; each customer moves to its new plan with its next request."""
         self.settings = replace(self.settings, plans=event.plans)
 
-    def settings_changed(self, now: float, event: SettingsChanged) -> None:
-        """Another part of every quota: nothing is handed out here that others had a moment ago."""
-        old, new, kept = self.settings, event.settings, self.grown_from * (now - self.grown_at < NAME_TTL_MS)
-        self.settings, self.counting = new, new.counter and not new.meter_ms
+    def on_settings_changed(self, now: float, event: SettingsChanged) -> None:
+        """Apply new settings, among them another number of gateways that the quotas are divided among.
+
+        Where this gateway's part grows, it grants nothing that another gateway may have granted just before.
+        """
+        old, new = self.settings, event.settings
+        # an earlier growth counts only while it is recent
+        recently_before = self.gateways_before * (now - self.share_grown_at < COUNTER_NAME_TTL_MS)
+        self.settings = new
+        self.uses_counter = new.counter and not new.meter_ms
         for cls in new.classes[len(self.unit_ms) :]:
             self.unit_ms.append(cls.aim_ms / 10)
             for backend in self.backends.values():
                 backend.slowness.append(Slowness())
         if new.gateways < old.gateways or event.newcomer:
-            self.grown_at, self.grown_from = now, max(kept, old.gateways, 10**9 * event.newcomer)
+            self.share_grown_at = now
+            # the bucket of a customer that is new to a newcomer starts empty
+            self.gateways_before = max(recently_before, old.gateways, 10**9 * event.newcomer)
         for customer in self.customers.values() if new.gateways != old.gateways else ():
             customer.resize(now, new.gateways)
 
-    # ---- across stalls and restarts
+    # ---- stalls and restarts
 
-    def stood_still(self, now: float, event: StoodStill) -> None:
-        """Guards against blaming backends for this gateway's own pause."""
-        self.woke_at = now
+    def on_gateway_stalled(self, now: float, event: GatewayStalled) -> None:
+        """Do not blame backends for the time in which this gateway was suspended."""
+        self.resumed_at = now
 
-    def remember(self, customer: int) -> Remembered | None:
-        """What a restart must not forget of a customer: promises given, the ceiling, what units it takes."""
+    def customer_snapshot(self, customer: int) -> CustomerSnapshot | None:
+        """The state of a customer that a restart must keep; None for an unknown customer."""
         if (known := self.customers.get(customer)) is None:
             return None
         place = next((i for i, plan in enumerate(self.settings.plans) if plan is known.plan), -1)
-        return Remembered(
+        return CustomerSnapshot(
             customer,
             place,
-            round(1 / known.even),
+            round(1 / known.even_share),
             list(known.appointments),
             known.end_of_queue_time,
             known.answers,
             known.unit_sum,
             known.unit_squares,
             known.cap_tokens,
-            known.filled_at,
+            known.refilled_at,
         )
 
-    def restored(self, now: float, event: Restored) -> None:
-        """Appointments go on where they ended; the ceiling has what was left of it and what it got since."""
+    def on_state_restored(self, now: float, event: StateRestored) -> None:
+        """Take over the state of an earlier incarnation.
+
+        The virtual queues continue, and each ceiling has what was left of it plus the refill since then.
+        """
         self.unit_ms = list(event.unit_ms) if len(event.unit_ms) == len(self.unit_ms) else self.unit_ms
-        self.mean_work = self.asked_unit_ms = sum(self.unit_ms) / len(self.unit_ms)
+        self.mean_work_ms = self.mean_unit_ms = sum(self.unit_ms) / len(self.unit_ms)
         for old in event.customers:
             if old.customer in self.customers or not 0 <= old.plan < len(self.settings.plans):
                 continue
@@ -320,352 +433,445 @@
             known = Customer(self.settings.plans[old.plan], width, min(now, old.at_ms), old.customer)
             known.cap_tokens = old.cap_tokens
             known.refill(now)
-            known.appointments, known.end_of_queue_time = deque(old.appointments), old.end_of_queue_ms
-            known.answers, known.unit_sum, known.unit_squares = old.answers, old.unit_sum, old.unit_squares
-            known.followed_at = now
+            known.appointments = deque(old.appointments)
+            known.end_of_queue_time = old.end_of_queue_ms
+            known.answers = old.answers
+            known.unit_sum = old.unit_sum
+            known.unit_squares = old.unit_squares
+            known.share_adjusted_at = now
             self.customers[old.customer] = known
 
-    # ---- quotas: the ordinary path
+    # ---- quotas
+
+    def customer_for(self, now: float, event: RequestArrived | ExternalUse) -> Customer:
+        """The customer of an event, refilled and on its current plan; created where it is unknown.
 
-    def customer(self, now: float, event: RequestArrived | UsePassed) -> Customer:
-        """The customer of a request; one idle for a name's life is dropped: a fresh one does as well."""
-        known, plan = self.customers.pop(event.customer, None), self.settings.plans[event.plan]
+        Each call also drops the customer that has been idle longest, if its last counter name has expired.
+        """
+        known = self.customers.pop(event.customer, None)
+        plan = self.settings.plans[event.plan]
         if known is None:
             width = max(1, min(event.width, self.settings.gateways))
-            debt = -self.random.random() * LUMP * plan.burst  # so that rare reports are right on average
-            known = Customer(plan, width, now, event.customer, debt)
+            # a random start makes reports in whole batches right on average, even where use is rare
+            unreported = -self.random.random() * REPORT_BATCH_FRACTION * plan.burst
+            known = Customer(plan, width, now, event.customer, unreported)
+            # no more than this gateway's part before it last grew, and the refill since then
             known.tokens = min(
                 known.tokens,
-                plan.burst / self.grown_from + (now - self.grown_at) / 1000 * plan.rate * known.even,
+                plan.burst / self.gateways_before
+                + (now - self.share_grown_at) / 1000 * plan.rate * known.even_share,
             )
-        self.customers[event.customer] = known  # the longest unseen stand first
+        self.customers[event.customer] = known
         known.refill(now)
         if known.plan is not plan:
-            known.change(plan)
+            known.change_plan(plan)
         first, oldest = next(iter(self.customers.items()))
-        if now - oldest.filled_at > NAME_TTL_MS:
+        if now - oldest.refilled_at > COUNTER_NAME_TTL_MS:
             del self.customers[first]
         return known
 
-    def arrived(self, now: float, event: RequestArrived) -> None:
-        """The bucket decides; what it cannot tell is asked, what it refuses gets a return time."""
-        customer, marks = self.customer(now, event), self.settings.marks_retry
-        plan, work = customer.plan, self.unit_ms[event.cls] * max(event.units, 0.01)
-        call = self.calls[event.request] = Call(event, self.settings.classes[event.cls], customer, now, work)
+    def on_request_arrived(self, now: float, event: RequestArrived) -> None:
+        """Decide on a client's try.
+
+        The local bucket decides first. A request beyond it is refused where the shared bucket is estimated to
+        be empty, or held until the counter answers, or decided by the estimate.
+        """
+        customer = self.customer_for(now, event)
+        plan = customer.plan
+        marks = self.settings.marks_retry
+        work_ms = self.unit_ms[event.cls] * max(event.units, 0.01)
+        call = Call(event, self.settings.classes[event.cls], customer, now, work_ms)
+        self.calls[event.request] = call
         if event.retry and marks and customer.appointments:
             customer.appointments.popleft()
-        self.retries = min(RETRY_MOST, self.retries + RETRY_PART)
-        self.asked_unit_ms += (self.unit_ms[event.cls] - self.asked_unit_ms) * (1 - KEEP) / 2
-        room = not plan.ceiling_rate or customer.cap_tokens >= event.units
-        kept = RESERVE * plan.burst * customer.share if marks and not event.retry else 0.0
-        if room and (not plan.rate or customer.tokens - kept >= event.units):
+        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_TRY)
+        self.mean_unit_ms += (self.unit_ms[event.cls] - self.mean_unit_ms) * (1 - EWMA_DECAY) / 2
+        below_ceiling = not plan.ceiling_rate or customer.cap_tokens >= event.units
+        reserve = RETRY_RESERVE_FRACTION * plan.burst * customer.share if marks and not event.retry else 0.0
+        if below_ceiling and (not plan.rate or customer.tokens - reserve >= event.units):
             return self.admit(now, call, True)
-        customer.dry = True
-        if room and plan.over_worth > plan.over_cost:
-            self.account["over_known"] += 0.0 if customer.thin(event.units) else event.units
-            return self.admit(now, call, customer.thin(event.units))
-        luck = self.random.random()
-        if not room or luck >= customer.room(now, max(self.asking, customer.left)):
-            customer.turned += event.units
+        customer.ran_dry = True
+        exceeds_bucket = customer.exceeds_bucket(event.units)
+        if below_ceiling and plan.over_worth > plan.over_cost:  # worth admitting beyond its quota
+            self.account["over_known"] += 0.0 if exceeds_bucket else event.units
+            return self.admit(now, call, exceeds_bucket)
+        draw = self.random.random()
+        refill_fraction = max(self.counter_headroom, customer.unused_fraction)
+        if not below_ceiling or draw >= customer.estimated_fill(now, refill_fraction):
+            customer.refused_unasked += event.units
             self.account["refused_unasked"] += event.units
-            return self.refuse(now, call, Why.QUOTA)  # told to be empty, and no use to ask again
+            return self.refuse(now, call, Why.QUOTA)
         answered_by = now + self.settings.counter_timeout_ms + 2 * self.settings.tick_ms
-        chance = self.worth_asking(call) if self.counting and answered_by < call.give_up else 0.0
-        if self.random.random() < chance:  # hold the try and ask for its units
-            if customer.thin(event.units):  # it stands for those like it that are not asked for
-                call.counted = min(event.units / chance, max(event.units, DRIFT * plan.burst))
+        may_hold = self.uses_counter and answered_by < call.deadline
+        chance = self.count_chance(call) if may_hold else 0.0
+        if self.random.random() < chance:
+            if exceeds_bucket:
+                # counted for similar requests that are decided without a call, too (inverse probability)
+                call.counted_units = min(
+                    event.units / chance, max(event.units, MAX_DRIFT_FRACTION * plan.burst)
+                )
                 self.account["asked"] += event.units
-                return self.count(customer, now, call.counted, 0.0, call)
-            if customer.debt + event.units > 0:  # one try a lump
-                call.counted = event.units
+                return self.count(customer, now, call.counted_units, 0.0, call)
+            if customer.unreported_units + event.units > 0:  # at most one request is held for each batch
+                call.counted_units = event.units
                 self.account["asked"] += event.units
-                customer.debt += event.units
-                return self.settle(now, customer, call)
-        fits = min(1.0, customer.room(now, customer.left)) if customer.told_at > -inf else self.fits
-        if luck < fits - (1 - fits) * (plan.over_cost - plan.over_worth) and (  # beyond its quota a try costs
-            self.counting or customer.tokens >= plan.burst * customer.share
+                customer.unreported_units += event.units
+                return self.report_use(now, customer, call)
+        if customer.counted_at > -inf:
+            within_chance = min(1.0, customer.estimated_fill(now, customer.unused_fraction))
+        else:
+            within_chance = self.first_count_granted_fraction
+        # without a counter only a full bucket goes into debt, or larger requests would never be admitted
+        if draw < within_chance - (1 - within_chance) * (plan.over_cost - plan.over_worth) and (
+            self.uses_counter or customer.tokens >= plan.burst * customer.share
         ):
-            return self.admit(now, call, True)  # a full bucket does, or a large request never would pass
+            return self.admit(now, call, True)
         self.refuse(now, call, Why.QUOTA)
 
-    def worth_asking(self, call: Call) -> float:
-        """The chance of asking for a try that its bucket can't tell: dear ones first at a crowded counter."""
-        plan, freely = call.customer.plan, self.asking / CROWDED
-        if not call.customer.thin(call.event.units):
-            return min(1.0, freely)
-        lent = max(0.0, -call.customer.tokens)  # to those before it that were not asked for
-        stake = (call.event.units + lent) * call.cls.worth * plan.price * plan.over_cost
-        self.stake += (stake - self.stake) * ((1 - KEEP) / 2 if self.stake else 1.0)
-        dear = stake / self.stake if self.stake else 1.0
-        return min(1.0, freely * (self.asking + (1 - self.asking) * dear))
-
-    def admit(self, now: float, call: Call, inside: bool) -> None:
-        """Send what the quota lets pass, unless the fleet is pressed."""
+    def count_chance(self, call: Call) -> float:
+        """The probability of asking the counter about a request that the local bucket cannot cover.
+
+        With little headroom, the requests that cost most when wrongly admitted are asked about first.
+        """
+        plan = call.customer.plan
+        base = self.counter_headroom / BUSY_HEADROOM
+        if not call.customer.exceeds_bucket(call.event.units):
+            return min(1.0, base)
+        on_credit = max(0.0, -call.customer.tokens)
+        overrun_cost = (call.event.units + on_credit) * call.cls.worth * plan.price * plan.over_cost
+        weight = (1 - EWMA_DECAY) / 2 if self.mean_overrun_cost else 1.0
+        self.mean_overrun_cost += (overrun_cost - self.mean_overrun_cost) * weight
+        relative_cost = overrun_cost / self.mean_overrun_cost if self.mean_overrun_cost else 1.0
+        return min(1.0, base * (self.counter_headroom + (1 - self.counter_headroom) * relative_cost))
+
+    def admit(self, now: float, call: Call, within_quota: bool) -> None:
+        """Send a request that is admitted by quota, or refuse it where the fleet is overloaded."""
         event, customer = call.event, call.customer
-        backend = self.choose(now, call, self.patience(event.cls) * (1.0 if inside else SPARE_PATIENCE))
+        max_wait_ms = self.max_wait_ms(event.cls) * (1.0 if within_quota else OVER_QUOTA_WAIT_FACTOR)
+        backend = self.choose_backend(now, call, max_wait_ms)
         if backend is None:
-            customer.debt -= call.counted
+            customer.unreported_units -= call.counted_units
             return self.refuse(now, call, Why.PRESSURE)
         customer.cap_tokens -= event.units if customer.plan.ceiling_rate else 0.0
-        if inside and not call.counted:
-            if customer.dry and customer.tokens < event.units:  # beyond the bucket, and nothing told
-                customer.let_in += event.units
+        if within_quota and not call.counted_units:
+            if customer.ran_dry and customer.tokens < event.units:  # beyond the bucket, and not asked about
+                customer.admitted_unasked += event.units
                 self.account["unasked"] += event.units
             customer.tokens -= event.units
-            if not (self.counting and customer.thin(event.units)):  # those asked for stand for it
-                customer.debt += event.units
-                self.settle(now, customer)
+            # larger requests are covered by the higher count of those that the counter was asked about
+            if not (self.uses_counter and customer.exceeds_bucket(event.units)):
+                customer.unreported_units += event.units
+                self.report_use(now, customer)
         self.send(now, call, backend)
 
     def refuse(self, now: float, call: Call, why: Why) -> None:
-        """Final answer: the client is told when to come back."""
-        wait = call.customer.return_time(now, call.event.units, NO_SHOW_MS * self.settings.marks_retry)
+        """Final answer: refused, with a time to come back."""
+        grace_ms = APPOINTMENT_GRACE_MS * self.settings.marks_retry
+        wait = call.customer.schedule_return(now, call.event.units, grace_ms)
         self.actions.append(Refuse(call.event.request, wait, why))
         self.calls.pop(call.event.request, None)
 
-    def passed(self, now: float, event: UsePassed) -> None:
-        """What a proxy let pass by itself was used all the same: bucket, ceiling and counter are told."""
-        customer = self.customer(now, event)
+    def on_external_use(self, now: float, event: ExternalUse) -> None:
+        """Charge use that this gateway did not decide on to the bucket, the ceiling and the counter."""
+        customer = self.customer_for(now, event)
         customer.tokens -= event.units if customer.plan.rate else 0.0
         customer.cap_tokens -= event.units if customer.plan.ceiling_rate else 0.0
-        customer.debt += event.units
-        self.settle(now, customer)
-
-    # ---- what the counter knows of a customer
-
-    def settle(self, now: float, customer: Customer, call: Call | None = None) -> None:
-        """Report own use, or take back what was counted in vain, in whole lumps."""
-        lump = LUMP * customer.plan.burst
-        lumps = ceil(customer.debt / lump) * lump if lump and self.counting else 0.0
-        # a plan whose tries are let in all the same has the calls that are left over
-        spare = customer.plan.over_worth > customer.plan.over_cost
-        if lumps and (call or self.random.random() * CROWDED < self.asking - CROWDED * spare):
-            customer.debt -= lumps
-            self.count(customer, now, lumps, 0.0, call)
-
-    def count(self, customer: Customer, now: float, use: float, drift: float, call: Call | None) -> None:
-        """Call the counter: for use (a held try's units among it), or to put the name right by drift."""
-        name, _ = self.name(now, customer)
-        self.counts.setdefault(name, deque()).append((customer, use, drift, call))
-        self.actions.append(Count(name, use + drift, NAME_TTL_MS))
-
-    def name(self, now: float, customer: Customer) -> tuple[int, float]:
-        """The customer's name of this minute, and of its plan's version, and its age."""
-        # customers change theirs at different moments
-        turn, age = divmod(now + customer.number * 2654435761 % 2**32 / 2**32 * NAME_TTL_MS, NAME_TTL_MS)
-        return customer.plan.version << 64 | int(turn) << 33 | customer.number, age
-
-    def count_answered(self, now: float, event: CountAnswered) -> None:
-        """Guards against a slow, full or lost counter: never add twice, ask less, hold what was told."""
-        if not (asked := self.counts.get(event.name)):
+        customer.unreported_units += event.units
+        self.report_use(now, customer)
+
+    # ---- the shared counter
+
+    def report_use(self, now: float, customer: Customer, call: Call | None = None) -> None:
+        """Add a customer's unreported use to the counter, or take back unused units, in whole batches.
+
+        With a held request the call is certain; without one it is left out at random at a busy counter.
+        """
+        batch = REPORT_BATCH_FRACTION * customer.plan.burst
+        units = ceil(customer.unreported_units / batch) * batch if batch and self.uses_counter else 0.0
+        # where requests beyond the quota are admitted anyway, only spare calls are used
+        low_priority = customer.plan.over_worth > customer.plan.over_cost
+        if units and (
+            call
+            or self.random.random() * BUSY_HEADROOM < self.counter_headroom - BUSY_HEADROOM * low_priority
+        ):
+            customer.unreported_units -= units
+            self.count(customer, now, units, 0.0, call)
+
+    def count(self, customer: Customer, now: float, use: float, correction: float, call: Call | None) -> None:
+        """Call the counter to report use and to correct the total; call: the request held for the answer."""
+        name, _ = self.counter_name(now, customer)
+        self.pending_counts.setdefault(name, deque()).append((customer, use, correction, call))
+        self.actions.append(Count(name, use + correction, COUNTER_NAME_TTL_MS))
+
+    def counter_name(self, now: float, customer: Customer) -> tuple[int, float]:
+        """The name that a customer is counted under at this time, and how long it has been in use, in ms.
+
+        The name holds the plan's version, the number of the period and the customer.
+        """
+        # multiplicative hashing (Knuth) spreads the beginnings of the periods
+        offset_ms = customer.number * 2654435761 % 2**32 / 2**32 * COUNTER_NAME_TTL_MS
+        period, age_ms = divmod(now + offset_ms, COUNTER_NAME_TTL_MS)
+        return customer.plan.version << 64 | int(period) << 33 | customer.number, age_ms
+
+    def on_count_answered(self, now: float, event: CountAnswered) -> None:
+        """Apply the counter's answer, and decide on the request that was held for it.
+
+        Without an answer for the current name the request is admitted. Units are reported again only if the
+        counter certainly has not added them.
+        """
+        if not (pending := self.pending_counts.get(event.name)):
             return
-        customer, use, drift, call = asked.popleft()
-        if not asked:
-            del self.counts[event.name]
+        customer, use, correction, call = pending.popleft()
+        if not pending:
+            del self.pending_counts[event.name]
         answered = event.outcome is Outcome.OK
-        prompt = answered and event.elapsed_ms < LATE_ANSWER * self.settings.counter_timeout_ms
-        if prompt:
-            self.asking = min(1.0, self.asking + ASK_MORE)
-        elif event.outcome not in (Outcome.RESET, Outcome.ERROR):  # a broken connection is no crowded counter
-            self.asking = max(ASK_LEAST, self.asking * ASK_LESS)
+        if answered and event.elapsed_ms < LATE_ANSWER_FRACTION * self.settings.counter_timeout_ms:
+            self.counter_headroom = min(1.0, self.counter_headroom + HEADROOM_INCREASE)
+        elif event.outcome not in (Outcome.RESET, Outcome.ERROR):  # a broken connection is no sign of load
+            self.counter_headroom = max(MIN_HEADROOM, self.counter_headroom * HEADROOM_DECREASE_FACTOR)
         held = call if call and call.event.request in self.calls else None
-        name, age = self.name(now, customer)
+        name, age_ms = self.counter_name(now, customer)
         if not answered or name != event.name:
             if event.outcome.never_ran:
-                customer.debt += use - (call.counted if call else 0.0)
+                customer.unreported_units += use - (call.counted_units if call else 0.0)
                 if held:
-                    held.counted = 0.0
+                    held.counted_units = 0.0
             return self.admit(now, held, True) if held else None
         customer.refill(now)
-        new, gain = customer.told_at == -inf, customer.told(now, event.total - use - drift, use, age) - drift
-        self.settle_account(customer, max(0.0, customer.store + use))
-        # a try that stands for others is let in as far as the store holds them all
-        granted = held is not None and customer.store + use >= max(
-            held.event.units, held.counted * self.random.random()
+        first = customer.counted_at == -inf
+        needed = customer.apply_count(now, event.total - use - correction, use, age_ms) - correction
+        self.update_account(customer, max(0.0, customer.shared_tokens + use))
+        # a request counted for others too is admitted in proportion to the room that there is for all of them
+        granted = held is not None and customer.shared_tokens + use >= max(
+            held.event.units, held.counted_units * self.random.random()
         )
-        self.fits += (granted - self.fits) * (1 - KEEP) / 2 * (new and held is not None)
-        # what is beyond the quota takes nothing from the store, so it is given back
-        beyond = use if call and not granted else min(max(use, 0.0), max(0.0, -customer.store))
-        customer.debt, customer.store = customer.debt - beyond, customer.store + beyond
+        weight = (1 - EWMA_DECAY) / 2 * (first and held is not None)
+        self.first_count_granted_fraction += (granted - self.first_count_granted_fraction) * weight
+        # units beyond the quota are not to be counted: they are taken back from the counter
+        beyond = use if call and not granted else min(max(use, 0.0), max(0.0, -customer.shared_tokens))
+        customer.unreported_units -= beyond
+        customer.shared_tokens += beyond
         if held:
             self.admit(now, held, True) if granted else self.refuse(now, held, Why.QUOTA)
-        if customer.debt <= 0:
-            self.settle(now, customer)
-        if abs(gain) > DRIFT * customer.plan.burst:  # of two gateways that put it right the later takes back
-            self.count(customer, now, min(gain, 0.0), max(gain, 0.0), None)
-
-    def settle_account(self, customer: Customer, level: float) -> None:
-        """What a telling shows of the tries that were decided by belief since the one before it."""
-        self.account["over_unknown"] += max(0.0, customer.let_in - level)
-        self.account["refused_with_room"] += min(customer.turned, level)
-        customer.let_in = customer.turned = 0.0
+        if customer.unreported_units <= 0:
+            self.report_use(now, customer)
+        # where two gateways correct a total at the same time, the later one takes its correction back
+        if abs(needed) > MAX_DRIFT_FRACTION * customer.plan.burst:
+            self.count(customer, now, min(needed, 0.0), max(needed, 0.0), None)
+
+    def update_account(self, customer: Customer, level: float) -> None:
+        """Compare what was decided without the counter since its last answer with the level that it shows."""
+        self.account["over_unknown"] += max(0.0, customer.admitted_unasked - level)
+        self.account["refused_with_room"] += min(customer.refused_unasked, level)
+        customer.admitted_unasked = customer.refused_unasked = 0.0
 
     # ---- backends
 
-    def fleet(self, now: float, event: FleetUpdate) -> None:
-        """Follow the list; what it does not name as ready gets nothing new from this moment on."""
+    def on_fleet_update(self, now: float, event: FleetUpdate) -> None:
+        """Apply an update of the server list; a backend that is not listed as ready gets no new attempt."""
         if event.kind in (ListKind.FULL, ListKind.CACHED):
             named = {entry.backend: entry for entry in event.entries}
             for gone in [n for n in self.backends if n not in named]:
-                self.place(self.backends.pop(gone).entry, False)
+                self.update_rings(self.backends.pop(gone).entry, False)
         for entry in event.entries:
             if (known := self.backends.pop(entry.backend, None)) is not None:
-                self.place(known.entry, False)
+                self.update_rings(known.entry, False)
             if known is None or entry.up_since_ms > known.entry.up_since_ms:
                 known = Backend(entry, len(self.unit_ms))
             known.entry = entry
             if entry.state is not BackendState.GONE:
                 self.backends[entry.backend] = known
-                self.place(entry, entry.state is BackendState.READY)
+                self.update_rings(entry, entry.state is BackendState.READY)
 
-    def place(self, entry: BackendEntry, ready: bool) -> None:
-        """Keep the rings of ready backends, for each group that drops its repeats."""
+    def update_rings(self, entry: BackendEntry, ready: bool) -> None:
+        """Add a backend to the sorted lists of ready backends of its groups, or remove it from them."""
         for key in ((Group.ALL, 0), (Group.ZONE, entry.zone), (Group.CELL, entry.cell)):
             ring = self.rings.setdefault(key, [])
             at = bisect_left(ring, entry.backend)
-            there = ring[at : at + 1] == [entry.backend]
-            ring[at : at + there] = [entry.backend] * ready
-
-    def patience(self, number: int) -> float:
-        """The wait this class may meet: long-aimed cheap work must not fill a pressed fleet."""
-        # work that is lighter than most waits less at the same pile, and so its aim counts for more
-        own = self.settings.classes[number].worth / self.unit_ms[number]
-        dear = [
-            (cls.worth / ms, cls.aim_ms * max(1.0, self.asked_unit_ms / ms))
-            for cls, ms in zip(self.settings.classes, self.unit_ms, strict=True)
-            if cls.worth / ms >= own
+            present = ring[at : at + 1] == [entry.backend]
+            ring[at : at + present] = [entry.backend] * ready
+
+    def max_wait_ms(self, cls: int) -> float:
+        """The longest expected wait at which requests of this class are still admitted.
+
+        It depends on the aims of all classes of at least the same worth per ms of work, so that cheap classes
+        with a long aim do not fill an overloaded fleet.
+        """
+        own = self.settings.classes[cls].worth / self.unit_ms[cls]
+        # behind the same queue lighter work waits less, so the aim of a lighter class counts for more
+        valuable = [
+            (other.worth / ms, other.aim_ms * max(1.0, self.mean_unit_ms / ms))
+            for other, ms in zip(self.settings.classes, self.unit_ms, strict=True)
+            if other.worth / ms >= own
         ]
-        part = CHEAP_PATIENCE + (PATIENCE - CHEAP_PATIENCE) * own / (max(dear)[0] or 1.0)
-        return part * min(aim for _, aim in dear)
+        fraction = CHEAP_MAX_WAIT_FRACTION + (MAX_WAIT_FRACTION - CHEAP_MAX_WAIT_FRACTION) * own / (
+            max(valuable)[0] or 1.0
+        )
+        return fraction * min(aim_ms for _, aim_ms in valuable)
+
+    def queue_factor(self, now: float, backend: Backend) -> float:
+        """The factor by which queueing prolongs a request at a backend: 1 if the backend is idle.
 
-    def pile(self, now: float, backend: Backend) -> float:
-        """What stands there from here and a request more, as a warm backend of size one would feel it."""
+        It is derived from the work outstanding from this gateway, in mean requests, and from the backend's
+        present capacity.
+        """
         entry = backend.entry
         warmth = backend.warmth(now, self.settings) if entry.up_since_ms else 1.0
-        return 1 + backend.load / (self.mean_work * (entry.size or 1) * warmth)
-
-    def width(self, ready: int) -> int:
-        """How many backends this gateway keeps to: each is kept to by NEAR gateways at least."""
-        return min(ready, max(NEAR, ceil(ready * NEAR / self.settings.gateways)))
-
-    def near(self, call: Call) -> list[Backend]:
-        """This gateway's part of the ready backends, or of the group that drops a repeat."""
-        ring = self.rings.get(call.ran_group or (Group.ALL, 0), [])
-        width, start = self.width(len(ring)), self.settings.index * len(ring) // self.settings.gateways
-        picked = range(width) if width <= LOOK else self.random.sample(range(width), LOOK)
+        return 1 + backend.load / (self.mean_work_ms * (entry.size or 1) * warmth)
+
+    def subset_size(self, ready: int) -> int:
+        """How many of the ready backends a gateway uses, so that enough gateways use each backend."""
+        return min(ready, max(MIN_SUBSET_SIZE, ceil(ready * MIN_SUBSET_SIZE / self.settings.gateways)))
+
+    def candidates(self, call: Call) -> list[Backend]:
+        """The backends of this gateway's subset, or of the group that drops a repeat of this request."""
+        ring = self.rings.get(call.dedup_group or (Group.ALL, 0), [])
+        size = self.subset_size(len(ring))
+        start = self.settings.index * len(ring) // self.settings.gateways
+        picked = range(size) if size <= MAX_CANDIDATES else self.random.sample(range(size), MAX_CANDIDATES)
         return [self.backends[ring[(start + i) % len(ring)]] for i in picked]
 
-    def forecast(self, now: float, backend: Backend, call: Call, fleet: float) -> float:
-        """Expected time of a send to this backend; silence bounds it from below. fleet: its slowness now."""
-        expected = call.work * backend.slowness[call.event.cls].now(now, fleet) * self.pile(now, backend)
-        for sent_at, own, _, _ in backend.out.values():  # the oldest tells how long it has been silent
-            return max(expected, now - max(sent_at, self.woke_at, backend.heard_at) - own)
+    def forecast(self, now: float, backend: Backend, call: Call, fleet_slowness: float) -> float:
+        """The expected time of an attempt at this backend, in ms; at least as long as it has been silent."""
+        slowness = backend.slowness[call.event.cls].current(now, fleet_slowness)
+        expected = call.work_ms * slowness * self.queue_factor(now, backend)
+        # only the oldest attempt matters: it shows how long the backend has been silent
+        for sent_at, own_ms, _, _ in backend.outstanding.values():
+            return max(expected, now - max(sent_at, self.resumed_at, backend.last_answer_at) - own_ms)
         return expected
 
-    def cold_room(self, now: float, backend: Backend, work: float) -> bool:
-        """Guards a cold backend: all gateways' work in a window stays well inside what pushes it over."""
-        # it does one request at a time at least; a part below one request is rounded by chance
-        s, warmth, ready = self.settings, backend.warmth(now, self.settings), len(self.rings[Group.ALL, 0])
-        if warmth < 1 and backend.cold_turn != now // s.overload_ms:
-            backend.cold_turn = now // s.overload_ms
-            users = max(1.0, s.gateways * self.width(ready) / max(1, ready))
-            budget = COLD_PART * s.fall_multiple * warmth * s.overload_ms / users
-            backend.cold_left = budget + self.random.random() * self.mean_work
-        return warmth >= 1 or backend.cold_left >= work
-
-    def choose(self, now: float, call: Call, patience: float = inf) -> Backend | None:
-        """The backend with the least expected delay, at random among near ties; None: refuse."""
-        fleet = self.slowness.now(now)  # one bad backend is no sign of a pressed fleet
-        near = [b for b in self.near(call) if not b.entry.up_since_ms or self.cold_room(now, b, call.work)]
+    def within_cold_budget(self, now: float, backend: Backend, work_ms: float) -> bool:
+        """Whether a backend is warm, or has this much left of its budget in the current time window.
+
+        The budgets of all gateways together stay below the work that would overload the cold backend.
+        """
+        s = self.settings
+        warmth = backend.warmth(now, s)
+        ready = len(self.rings[Group.ALL, 0])
+        if warmth < 1 and backend.cold_window != now // s.overload_ms:
+            backend.cold_window = now // s.overload_ms
+            users = max(1.0, s.gateways * self.subset_size(ready) / max(1, ready))
+            budget = COLD_BUDGET_FRACTION * s.fall_multiple * warmth * s.overload_ms / users
+            # a backend runs at least one request at a time; a budget below one request is rounded at random
+            backend.cold_budget_ms = budget + self.random.random() * self.mean_work_ms
+        return warmth >= 1 or backend.cold_budget_ms >= work_ms
+
+    def choose_backend(self, now: float, call: Call, max_wait_ms: float = inf) -> Backend | None:
+        """The backend with the shortest expected time, at random among near ties.
+
+        None: no backend may be used, or the request is shed because the expected wait exceeds its limit.
+        """
+        fleet = self.fleet_slowness.current(now)
+        near = [
+            b
+            for b in self.candidates(call)
+            if not b.entry.up_since_ms or self.within_cold_budget(now, b, call.work_ms)
+        ]
         rated = [
-            (self.forecast(now, b, call, fleet), b) for b in near if b not in call.tried or len(near) == 1
+            (self.forecast(now, b, call, fleet), b) for b in near if b not in call.attempted or len(near) == 1
         ]
         if not rated:
             return None
         least = min(f for f, _ in rated)
-        best = self.random.choice([b for f, b in rated if f <= least * TIE])
-        drag = min(fleet, best.slowness[call.event.cls].now(now, fleet))
-        wait = drag * self.mean_work * self.pile(now, best)
-        late = (wait + call.work - self.mean_work) / max(1.0, call.aim - now) if patience < inf else 0.0
-        over = max(1.0, wait / patience, late)
-        return best if self.random.random() <= over**-RESOLVE else None
-
-    def group(self, backend: Backend, cls: RequestClass) -> tuple[Group, int]:
-        """The backends that drop each other's repeats of this class."""
+        best = self.random.choice([b for f, b in rated if f <= least * NEAR_TIE_FACTOR])
+        # limited to the slowness of the fleet: one slow backend is no sign of an overloaded fleet
+        slowness = min(fleet, best.slowness[call.event.cls].current(now, fleet))
+        wait = slowness * self.mean_work_ms * self.queue_factor(now, best)
+        finite = max_wait_ms < inf
+        late = (wait + call.work_ms - self.mean_work_ms) / max(1.0, call.aim_at - now) if finite else 0.0
+        excess = max(1.0, wait / max_wait_ms, late)
+        return best if self.random.random() <= excess**-SHEDDING_EXPONENT else None
+
+    def dedup_group(self, backend: Backend, cls: RequestClass) -> tuple[Group, int]:
+        """The group of backends that drop each other's repeats of a request of this class."""
         entry = backend.entry
         return cls.group, {Group.ALL: 0, Group.ZONE: entry.zone, Group.CELL: entry.cell}[cls.group]
 
     # ---- attempts
 
     def send(self, now: float, call: Call, backend: Backend) -> None:
-        """Start an attempt and remember what it may do."""
-        pile = self.pile(now, backend)
-        backend.out[call.event.request, len(call.tried)] = now, call.work, pile, call.event.cls
-        backend.load += call.work
-        backend.cold_left -= call.work
-        self.mean_work += (call.work - self.mean_work) * (1 - KEEP) / 2
-        call.tried.append(backend)
+        """Start an attempt at this backend."""
+        attempt = call.event.request, len(call.attempted)
+        queue_factor = self.queue_factor(now, backend)
+        backend.outstanding[attempt] = now, call.work_ms, queue_factor, call.event.cls
+        backend.load += call.work_ms
+        backend.cold_budget_ms -= call.work_ms
+        self.mean_work_ms += (call.work_ms - self.mean_work_ms) * (1 - EWMA_DECAY) / 2
+        call.attempted.append(backend)
         self.actions.append(Send(call.event.request, backend.entry.backend))
 
-    def ended(self, now: float, event: AttemptEnded) -> None:
-        """Learn from the outcome, then answer the request or try again as far as its class allows."""
+    def on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
+        """Learn from an attempt's outcome; then conclude the request or make a further attempt."""
         backend = self.backends.get(event.backend)
-        known = backend.out.pop((event.request, event.attempt), None) if backend else None
+        sent = backend.outstanding.pop((event.request, event.attempt), None) if backend else None
         call = self.calls.get(event.request)
-        if backend and known:
-            backend.load = max(0.0, backend.load - known[1]) if backend.out else 0.0
-            if known[0] >= self.woke_at:
-                self.learn(now, backend, event, known)
+        if backend and sent:
+            sent_at, work_ms, _, _ = sent
+            backend.load = max(0.0, backend.load - work_ms) if backend.outstanding else 0.0
+            if sent_at >= self.resumed_at:
+                self.update_slowness(now, backend, event, sent)
         if call is None:
             return
-        if event.used_percent is not None:  # the site has a meter: it takes the counter's place
-            call.customer.follow(now, event.used_percent >= 100)
+        if event.used_percent is not None:  # the site has a meter of its own in place of the counter
+            call.customer.adjust_share(now, event.used_percent >= 100)
         if event.outcome is Outcome.OK:
             units = event.true_units or call.event.units
             call.customer.answers += 1
             call.customer.unit_sum += units
             call.customer.unit_squares += units * units
             call.customer.tokens -= units - call.event.units
-            call.customer.debt += units - call.event.units
+            call.customer.unreported_units += units - call.event.units
         if event.over:
-            return self.withdrawn(now, event)
+            return self.on_request_withdrawn(now, event)
         if not event.outcome.never_ran:
             call.may_have_run = True
-            if call.cls.effect is Effect.KEYED and call.ran_group is None:
-                call.ran_group = self.group(call.tried[event.attempt], call.cls)
-                call.ran_until = now - event.elapsed_ms + call.cls.window_ms
-        self.again(now, call)
-
-    def again(self, now: float, call: Call) -> None:
-        """The one table of further attempts: by effect, and by what may have run."""
-        call.cls = self.settings.classes[call.event.cls]  # it may be narrower by now
-        safe, keyed = call.cls.effect is Effect.SAFE, call.cls.effect is Effect.KEYED
+            if call.cls.effect is Effect.KEYED and call.dedup_group is None:
+                call.dedup_group = self.dedup_group(call.attempted[event.attempt], call.cls)
+                call.dedup_until = now - event.elapsed_ms + call.cls.window_ms
+        self.retry_or_finish(now, call)
+
+    def retry_or_finish(self, now: float, call: Call) -> None:
+        """Make a further attempt where that can do no harm; otherwise refuse the request or fail it."""
+        call.cls = self.settings.classes[call.event.cls]  # the settings may have become stricter
+        safe = call.cls.effect is Effect.SAFE
+        keyed = call.cls.effect is Effect.KEYED
         harmless = safe or not call.may_have_run
-        allowed = harmless or (keyed and now < call.ran_until - 1)
+        repeatable = harmless or (keyed and now < call.dedup_until - 1)
         refusable = harmless or (keyed and call.cls.group is Group.ALL)
-        more = len(call.tried) < self.settings.max_attempts and now < call.give_up - self.settings.tick_ms
-        if allowed and more and self.retries >= 1 and (backend := self.choose(now, call)) is not None:
-            self.retries -= 1
+        in_time = now < call.deadline - self.settings.tick_ms
+        more = len(call.attempted) < self.settings.max_attempts and in_time
+        if (
+            repeatable
+            and more
+            and self.retry_tokens >= 1
+            and (backend := self.choose_backend(now, call)) is not None
+        ):
+            self.retry_tokens -= 1
             return self.send(now, call, backend)
         if refusable:
             return self.refuse(now, call, Why.TRIED)
         self.actions.append(Fail(call.event.request))
         self.calls.pop(call.event.request, None)
 
-    def learn(self, now: float, backend: Backend, event: AttemptEnded, sent: Sent) -> None:
-        """Every kind of sign moves one measure; what came of a request's run tells of its class only."""
-        _, work, pile, cls = sent
-        took = event.elapsed_ms / pile / work
-        fleet = self.slowness.now(now)
+    def update_slowness(self, now: float, backend: Backend, event: AttemptEnded, sent: SentAttempt) -> None:
+        """Update the slowness of the backend and of the fleet from an attempt's outcome.
+
+        Outcomes of running a request affect its class only; failures to reach the backend affect all classes.
+        """
+        _, work_ms, queue_factor, cls = sent
+        slowness = event.elapsed_ms / queue_factor / work_ms
+        fleet = self.fleet_slowness.current(now)
         if event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
-            backend.heard_at = now
+            backend.last_answer_at = now
         if event.outcome is Outcome.OK:
-            backend.slowness[cls].sign(now, took, 1 - KEEP, fleet)
-            self.unit_ms[cls] *= 1 + min(took - 1, 1.0) * LEARN  # a jam is not learnt as usual
+            backend.slowness[cls].observe(now, slowness, 1 - EWMA_DECAY, fleet)
+            # limited, so that the times of an overload are not learnt as the usual ones
+            self.unit_ms[cls] *= 1 + min(slowness - 1, 1.0) * UNIT_TIME_LEARNING_RATE
         elif event.outcome not in (Outcome.CANCELLED, Outcome.MOOT):
-            own = event.outcome in (Outcome.ERROR, Outcome.TIMEOUT)  # it may fail just this class
-            for c in [cls] if own else range(len(self.unit_ms)):
-                backend.slowness[c].sign(now, max(DREAD, took), BLAME, fleet)
+            one_class = event.outcome in (Outcome.ERROR, Outcome.TIMEOUT)
+            for c in [cls] if one_class else range(len(self.unit_ms)):
+                backend.slowness[c].observe(now, max(FAILURE_SLOWNESS, slowness), FAILURE_WEIGHT, fleet)
         if event.outcome in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
-            sign = DREAD / 2 if event.outcome is Outcome.FULL else took
-            self.slowness.sign(now, min(sign, DREAD / 2), 1 - KEEP)  # one lost answer is no jam of the fleet
+            observed = FAILURE_SLOWNESS / 2 if event.outcome is Outcome.FULL else slowness
+            # limited, because a single lost answer is no sign of an overloaded fleet
+            self.fleet_slowness.observe(now, min(observed, FAILURE_SLOWNESS / 2), 1 - EWMA_DECAY)
--- a/tamarindfold/ingress/core.py
+++ b/tamarindfold/ingress/core.py
@@ -51,9 +51,9 @@
     SetTimer,
     Settings,
     SettingsChanged,
-    StoodStill,
+    GatewayStalled,
     TimerFired,
-    UsePassed,
+    ExternalUse,
     Why,
 )
 from tamarindfold.limits.open_requests import OpenRequestLimits
@@ -119,7 +119,7 @@
         self.withdrawn: dict[int, Exchange] = {}  # ended, but the decision module has not processed it yet
         self.fleet: dict[int, BackendEntry] = {}
         # processed before all other events that are waiting
-        self.priority_events: deque[FleetUpdate | SettingsChanged | StoodStill] = deque()
+        self.priority_events: deque[FleetUpdate | SettingsChanged | GatewayStalled] = deque()
         self.events: deque[Event] = deque()
         self.processing = False
         self.stall_ms, self.last_turn_ms = stall_ms, clock()
@@ -252,7 +252,7 @@
         """Count the units of a request that a proxy let through without a permit."""
         if self.recorder is not None and self.gateway.settings.plans[plan].ceiling_rate:
             self.recorder.spent(customer, plan, width, units)
-        self.post(UsePassed(customer, plan, units, width))
+        self.post(ExternalUse(customer, plan, units, width))
 
     def post(self, event: Event) -> None:
         """Queue an event for the decision module.
@@ -281,7 +281,7 @@
             self.resumed.clear()
             self.counts["stalls"] += 1
             self.log("instance.stood_still", for_ms=round(elapsed_ms), open=len(self.open_exchanges))
-            self.priority_events.append(StoodStill(elapsed_ms))
+            self.priority_events.append(GatewayStalled(elapsed_ms))
             gevent.spawn(self._resume)
         if heartbeat or elapsed_ms > self.stall_ms:
             self.last_turn_ms = now
--- a/tamarindfold/interface.py
+++ b/tamarindfold/interface.py
@@ -1,4 +1,4 @@
-"""What a gateway is told and what it may do: settings, events, actions. All times are milliseconds."""
+"""The interface of the decision module: its settings, events and actions. All times are milliseconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a probe or a counter call ended.
+
+    FULL: rejected unexamined by an overloaded receiver. MOOT: not sent, for the choice no longer applied.
+    """
 
     OK = 1
     ERROR = 2
@@ -22,12 +25,15 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the backend did not run the request."""
+        """Whether the outcome proves that the backend did not run the request."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """What running a request twice does.
+
+    SAFE: no harm. KEYED: the backends of one group drop the repeat. UNSAFE: the effect occurs twice.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -35,7 +41,7 @@
 
 
 class Group(Enum):
-    """Which backends drop each other's repeats of a keyed request."""
+    """The backends that drop each other's repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,16 +49,16 @@
 
 
 class Why(Enum):
-    """What a refusal is due to: a driver words its answer by it, and decides nothing."""
+    """The reason of a refusal; it selects the text of the answer and decides nothing."""
 
     QUOTA = "quota"
-    PRESSURE = "pressure"
-    TRIED = "tried"
-    OPEN = "open"  # not the module's: too many of the customer's requests are open at once (limits/open.py)
+    PRESSURE = "pressure"  # the fleet is overloaded
+    TRIED = "tried"  # an attempt failed and no further one is possible
+    OPEN = "open"  # too many requests of the customer are open at once; set by limits/open.py, not by Gateway
 
 
 class ListKind(IntEnum):
-    """What a fleet update holds."""
+    """What a fleet update holds: changes only, the full list, a saved list, or nothing."""
 
     CHANGES = 0
     FULL = 1
@@ -61,7 +67,7 @@
 
 
 class BackendState(IntEnum):
-    """What the list of backends knows of one."""
+    """The state of a backend in the list of backends."""
 
     GONE = 0
     READY = 1
@@ -71,78 +77,83 @@
 # ---- settings
 
 
-def _check(what: object, at_least: dict[str, float]) -> None:
-    """Raise ValueError naming the first field that is not a number of at least the given size."""
-    for name, least in at_least.items():
-        value = getattr(what, name)
+def _check_minimums(owner: object, minimums: dict[str, float]) -> None:
+    """Raise ValueError for the first field that is not a finite number of at least its minimum."""
+    for name, least in minimums.items():
+        value = getattr(owner, name)
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < float("inf"):
-            raise ValueError(f"{type(what).__name__}.{name}: {value!r} is not a number of at least {least:g}")
+            raise ValueError(
+                f"{type(owner).__name__}.{name}: {value!r} is not a number of at least {least:g}"
+            )
 
 
-def _check_types(what: object, kinds: dict[str, type]) -> None:
-    for name, kind in kinds.items():
-        value = getattr(what, name)
-        if not isinstance(value, kind):
-            raise ValueError(f"{type(what).__name__}.{name}: {value!r} is not a {kind.__name__}")
+def _check_types(owner: object, types: dict[str, type]) -> None:
+    """Raise ValueError for the first field that is not of its type."""
+    for name, expected in types.items():
+        value = getattr(owner, name)
+        if not isinstance(value, expected):
+            raise ValueError(f"{type(owner).__name__}.{name}: {value!r} is not a {expected.__name__}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     """A kind of request."""
 
-    aim_ms: float
+    aim_ms: float  # latency target
     deadline_ms: float
-    worth: float
+    worth: float  # of an answer in time, relative to other classes
     effect: Effect
-    group: Group = Group.ALL
-    window_ms: float = 0.0
+    group: Group = Group.ALL  # for KEYED: the backends that drop each other's repeats
+    window_ms: float = 0.0  # for KEYED: how long a repeat is recognised
     late_worth: float = 0.0
     name: str = ""
 
     def __post_init__(self) -> None:
-        _check(self, {"aim_ms": 1e-3, "deadline_ms": 1e-3, "worth": 0, "window_ms": 0, "late_worth": 0})
+        _check_minimums(
+            self, {"aim_ms": 1e-3, "deadline_ms": 1e-3, "worth": 0, "window_ms": 0, "late_worth": 0}
+        )
         _check_types(self, {"effect": Effect, "group": Group})
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer of this plan may use over all gateways; 0 means no such limit."""
+    """What a customer of this plan may use at all gateways together; 0 means no such limit."""
 
-    rate: float
-    burst: float
-    open_limit: int = 0
+    rate: float  # units per second
+    burst: float  # units
+    open_limit: int = 0  # requests open at the same time
     price: float = 1.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
-    ceiling_rate: float = 0.0
+    over_worth: float = 0.0  # the part of its worth that a request beyond the quota earns
+    over_cost: float = 0.0  # the part of its worth that a request beyond the quota costs
+    ceiling_rate: float = 0.0  # a hard limit beside the quota, units per second
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
     name: str = ""
-    version: int = 0  # the counter's names tell it: totals of two versions are never mixed
+    version: int = 0  # part of the counter's names, so that totals of two versions are never mixed
 
     def __post_init__(self) -> None:
-        _check(self, {f.name: 0 for f in fields(self) if f.name != "name"})
+        _check_minimums(self, {f.name: 0 for f in fields(self) if f.name != "name"})
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The deployment as one gateway is told it at start."""
+    """The deployment as one gateway sees it."""
 
     gateways: int
-    index: int
+    index: int  # of this gateway, from 0
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     max_attempts: int
-    start_capacity: float
-    cold_ms: float
-    fall_multiple: float
-    overload_ms: float
-    drain_grace_ms: float
+    start_capacity: float  # fraction of its capacity that a backend has when it starts
+    cold_ms: float  # time after its start in which a backend's capacity grows to the whole
+    fall_multiple: float  # a backend fails under this multiple of its capacity,
+    overload_ms: float  # if it lasts so long
+    drain_grace_ms: float  # how long a draining backend may still get requests
     answer_grace_ms: float = 0.0
     zone: int = 0
     tick_ms: float = 1.0
-    most_units: float = 1.0
-    marks_retry: bool = False
+    most_units: float = 1.0  # maximum of one request
+    marks_retry: bool = False  # whether clients mark their retries
     retry_after: bool = True
     max_retry_after_ms: float = 0.0
     second_copies: bool = False
@@ -153,12 +164,12 @@
     counter: bool = False
     counter_timeout_ms: float = 0.0
     counter_price: float = 0.0
-    meter_ms: float = 0.0
-    settled_after: bool = False
+    meter_ms: float = 0.0  # above 0: the site has a usage meter, which takes the counter's place
+    settled_after: bool = False  # whether the true units are known only with the answer
     report_fields: tuple[str, ...] = ()
 
     def __post_init__(self) -> None:
-        _check(
+        _check_minimums(
             self,
             {
                 "gateways": 1,
@@ -192,7 +203,7 @@
 
 @dataclass(slots=True)
 class BackendEntry:
-    """One line of the list of backends; up_since_ms 0 means long ago."""
+    """One entry of the list of backends; up_since_ms 0: started long ago."""
 
     backend: BackendId
     state: BackendState = BackendState.READY
@@ -205,7 +216,7 @@
 
 @dataclass(slots=True)
 class FleetUpdate:
-    """News from the list of backends."""
+    """An update of the list of backends."""
 
     kind: ListKind
     entries: list[BackendEntry]
@@ -214,7 +225,10 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's try; the gateway owes it one final answer within time_left_ms."""
+    """A client's try, to be given one final answer within time_left_ms.
+
+    width: the number of gateways that the customer's quota is divided among. retry: marked so by the client.
+    """
 
     request: int
     customer: int
@@ -229,7 +243,7 @@
 
 @dataclass(slots=True)
 class AnswerBegan:
-    """A streamed answer has begun; from now on it is the client's."""
+    """A streamed answer has begun and is being passed on to the client."""
 
     request: int
     attempt: int
@@ -239,7 +253,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; over: the request is concluded."""
+    """The one outcome of an attempt; over: the request has its final answer.
+
+    used_percent: use of the quota by the site's meter. true_units: 0 where the backend reported none.
+    """
 
     request: int
     attempt: int
@@ -254,21 +271,21 @@
 
 @dataclass(slots=True)
 class RequestWithdrawn:
-    """The client left; nothing more is owed."""
+    """The request needs no answer any more, for instance because its client disconnected."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer set by SetTimer is due."""
 
     label: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """What one probe found."""
+    """The outcome of a probe."""
 
     backend: BackendId
     outcome: Outcome
@@ -286,7 +303,7 @@
 
 @dataclass(slots=True)
 class CountAnswered:
-    """The answer to one counter call; total is valid with OK."""
+    """The answer to one Count; total is valid only if the outcome is OK."""
 
     name: int
     outcome: Outcome
@@ -296,16 +313,16 @@
 
 @dataclass(slots=True)
 class PlansChanged:
-    """The plans from now on: those known before keep their places, new ones follow."""
+    """New plans; earlier plans keep their places, and new ones follow."""
 
     plans: tuple[Plan, ...]
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """The settings from now on: classes and plans known before keep their places, new ones follow.
+    """New settings; earlier classes and plans keep their places, and new ones follow.
 
-    newcomer: this gateway's part of every quota is new, and whatever others spent of it is spent.
+    newcomer: this gateway had no part of any quota before, and others may have spent what it has now.
     """
 
     settings: Settings
@@ -313,8 +330,8 @@
 
 
 @dataclass(slots=True)
-class UsePassed:
-    """A customer's use that somebody let pass without our word, or against it: to be counted, not decided."""
+class ExternalUse:
+    """Use that a proxy let through without this gateway's decision, or against it; only to be counted."""
 
     customer: int
     plan: int
@@ -323,34 +340,34 @@
 
 
 @dataclass(slots=True)
-class StoodStill:
-    """This gateway did not run until now: what it sent before is late through no fault of the backends."""
+class GatewayStalled:
+    """This gateway was suspended until now; backends are not to blame for the delay of earlier attempts."""
 
     for_ms: float
 
 
 @dataclass(slots=True)
-class Remembered:
-    """What is worth keeping of one customer across a restart; times as handed to `handle`."""
+class CustomerSnapshot:
+    """The state of one customer that outlives a restart; times as handed to `Gateway.handle`."""
 
     customer: int
     plan: int  # its place in the settings
     width: int
-    appointments: list[float]
+    appointments: list[float]  # when refused clients were told to come back
     end_of_queue_ms: float
     answers: int = 0
     unit_sum: float = 0.0
     unit_squares: float = 0.0
-    cap_tokens: float = 0.0  # of the ceiling, at `at_ms`
+    cap_tokens: float = 0.0  # left of the ceiling, at `at_ms`
     at_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class Restored:
-    """What an earlier life of this gateway had promised, spent and learnt; before its first request."""
+class StateRestored:
+    """The saved state of an earlier incarnation of this gateway; handed over before the first request."""
 
-    customers: list[Remembered]
-    unit_ms: list[float]  # by class; empty: not known
+    customers: list[CustomerSnapshot]
+    unit_ms: list[float]  # time of one unit on an idle backend, by class; empty: unknown
 
 
 Event = (
@@ -365,9 +382,9 @@
     | CountAnswered
     | PlansChanged
     | SettingsChanged
-    | UsePassed
-    | StoodStill
-    | Restored
+    | ExternalUse
+    | GatewayStalled
+    | StateRestored
 )
 
 
@@ -385,7 +402,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Stop waiting for an attempt's answer."""
 
     request: int
     attempt: int
@@ -393,7 +410,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused, coming back is harmless."""
+    """Final answer: refused; a retry does no harm."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -402,14 +419,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; the request may have run."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for TimerFired after so long."""
+    """Ask for a TimerFired with this label after the given time."""
 
     after_ms: float
     label: int
@@ -417,7 +434,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Examine a backend."""
+    """Check a backend's health."""
 
     backend: BackendId
 
@@ -432,7 +449,7 @@
 
 @dataclass(slots=True)
 class Count:
-    """Add to a named number of the shared counter and learn its total."""
+    """Add to a named total of the shared counter; CountAnswered returns the new total."""
 
     name: int
     amount: float
@@ -441,7 +458,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators; rare state changes only."""
+    """A log line; for rare changes of state only."""
 
     text: str
 
--- a/tamarindfold/node/server.py
+++ b/tamarindfold/node/server.py
@@ -205,7 +205,7 @@
                 "book": len(self.directory.entries),
                 "customers": len(gateway.customers),
                 "calls": len(gateway.calls),
-                "counts": len(gateway.counts),
+                "counts": len(gateway.pending_counts),
                 "timers": self.timers.wheel.count,
             },
         }
--- a/tamarindfold/platform/configuration.py
+++ b/tamarindfold/platform/configuration.py
@@ -131,5 +131,5 @@
         kinds=_names(settings, "machine_types"),
         conn_idle_ms=reader.number("permissions.conn_idle", 30_000),
         dial_timeout_ms=reader.number("permissions.dial_timeout", 250),
-        open_cap=reader.whole("permissions.open_cap", 20_000),
+        open_cap=reader.integer("permissions.open_cap", 20_000),
     )
--- a/tamarindfold/recovery/driver.py
+++ b/tamarindfold/recovery/driver.py
@@ -14,7 +14,7 @@
 
 from tamarindfold.choice import Gateway
 from tamarindfold.ds.durable import Replacement, replace
-from tamarindfold.interface import Remembered, Restored
+from tamarindfold.interface import CustomerSnapshot, StateRestored
 from tamarindfold.recovery import format as files
 from tamarindfold.recovery.rules import keeps, refusal, restore
 
@@ -62,10 +62,10 @@
                 found.append((int(number), path))
         return sorted(found)
 
-    def load(self) -> Restored | None:
+    def load(self) -> StateRestored | None:
         """What an earlier life left, if it can be used; then a new journal. Never raises for a bad file."""
         now, journals = self.clock(), self._journals()
-        restored: Restored | None = None
+        restored: StateRestored | None = None
         self.generation = journals[-1][0] if journals else 0
         if self.path.exists():
             try:
@@ -200,10 +200,10 @@
             made.write(self._header(last))
             count = 0
             while walking:
-                rows: list[Remembered] = []
+                rows: list[CustomerSnapshot] = []
                 for _ in range(min(ROWS, len(walking))):
                     number, _ = walking.popitem()
-                    row = gateway.remember(number)
+                    row = gateway.customer_snapshot(number)
                     if row is not None and keeps(row, settings, self.clock()):
                         rows.append(row)
                         self.tracked[number] = None
--- a/tamarindfold/recovery/format.py
+++ b/tamarindfold/recovery/format.py
@@ -9,7 +9,7 @@
 from google.protobuf.message import DecodeError
 
 from tamarindfold.ds.durable import frame, frames
-from tamarindfold.interface import Remembered, Settings
+from tamarindfold.interface import CustomerSnapshot, Settings
 from tamarindfold.recovery.proto import snapshot_pb2 as pb
 
 VERSION = 1
@@ -71,7 +71,7 @@
     )
 
 
-def customers(rows: Sequence[Remembered]) -> bytes:
+def customers(rows: Sequence[CustomerSnapshot]) -> bytes:
     """A frame of some customers."""
     return frame(
         pb.Record(
@@ -97,10 +97,10 @@
     return frame(pb.Record(end=pb.End(customers=count)).SerializeToString())
 
 
-def read(data: bytes) -> tuple[Header, list[Remembered]]:
+def read(data: bytes) -> tuple[Header, list[CustomerSnapshot]]:
     """A whole snapshot; BadSnapshot says what is wrong with it."""
     found: Header | None = None
-    rows: list[Remembered] = []
+    rows: list[CustomerSnapshot] = []
     ended = False
     for at, body in frames(data):
         if body is None or ended:
@@ -135,7 +135,7 @@
     )
 
 
-def _customers(c: pb.Customers, at: int) -> list[Remembered]:
+def _customers(c: pb.Customers, at: int) -> list[CustomerSnapshot]:
     rows, first = [], 0
     columns = (
         c.number,
@@ -154,7 +154,7 @@
     times = list(c.times)
     for number, plan, width, count, queue, answers, total, squares, cap, when in zip(*columns, strict=True):
         own = times[first : first + count]
-        rows.append(Remembered(number, plan, width, own, queue, answers, total, squares, cap, when))
+        rows.append(CustomerSnapshot(number, plan, width, own, queue, answers, total, squares, cap, when))
         first += count
     return rows
 
--- a/tamarindfold/recovery/rules.py
+++ b/tamarindfold/recovery/rules.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from tamarindfold.interface import Remembered, Restored, Settings
+from tamarindfold.interface import CustomerSnapshot, StateRestored, Settings
 from tamarindfold.recovery.format import Entries, Header
 
 IDLE_MS = 60_000.0  # a full ceiling is worth a row for this long: a restart would empty it
@@ -26,7 +26,7 @@
     return ""
 
 
-def keeps(row: Remembered, settings: Settings, now: float) -> bool:
+def keeps(row: CustomerSnapshot, settings: Settings, now: float) -> bool:
     """Whether a customer is still worth a row: a promise lies ahead, or a ceiling is not full again."""
     if row.end_of_queue_ms > now:
         return True
@@ -39,8 +39,8 @@
 
 
 def restore(
-    header: Header, rows: Sequence[Remembered], entries: Entries, plans: Sequence[str], now: float
-) -> Restored:
+    header: Header, rows: Sequence[CustomerSnapshot], entries: Entries, plans: Sequence[str], now: float
+) -> StateRestored:
     """Snapshot and journals as one, in the places that the plans have now.
 
     A journal begins before its snapshot is taken, so the two overlap: a promise counts once, a draw from a
@@ -48,18 +48,18 @@
     """
     places = {name: place for place, name in enumerate(plans)}
     moved = [places.get(name, -1) for name in header.plans]
-    known: dict[int, Remembered] = {}
+    known: dict[int, CustomerSnapshot] = {}
     for row in rows:
         if row.plan < len(moved) and moved[row.plan] >= 0:
             row.plan = moved[row.plan]
             known[row.customer] = row
 
-    def entry(customer: int, plan: int, width: int) -> Remembered | None:
+    def entry(customer: int, plan: int, width: int) -> CustomerSnapshot | None:
         place = moved[plan] if plan < len(moved) else -1
         if place < 0:
             return None
         # one that the snapshot did not know had nothing of its ceiling: it began as a restarted one does
-        return known.setdefault(customer, Remembered(customer, place, width, [], 0.0, at_ms=now))
+        return known.setdefault(customer, CustomerSnapshot(customer, place, width, [], 0.0, at_ms=now))
 
     promised: dict[int, list[float]] = {}
     for customer, plan, width, back_at in entries.promised:
@@ -72,7 +72,7 @@
     for customer, plan, width, units in entries.spent:
         if (drawn := entry(customer, plan, width)) is not None:
             drawn.cap_tokens -= units
-    return Restored(list(known.values()), list(header.unit_ms))
+    return StateRestored(list(known.values()), list(header.unit_ms))
 
 
 def merge(a: Sequence[float], b: Sequence[float]) -> list[float]:
--- a/tamarindfold/rehearsal/judge.py
+++ b/tamarindfold/rehearsal/judge.py
@@ -404,7 +404,7 @@
 def counted_under_their_plans(evidence: Evidence, slack_ms: float) -> Verdict:
     """The counter is added to only under the name of the plan's version in force, reckoned from its own keys.
 
-    A name reads version << 64 | minute << 33 | customer (choice.Gateway.name); customers have the numbers in
+    A name reads version << 64 | minute << 33 | customer (Gateway.counter_name); customers have the numbers in
     which the run added them, plans the places in which it defined them.
     """
     verdict = Verdict("counted under their plans")
--- a/tests/build.py
+++ b/tests/build.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Builders of settings, gateways and events for tests of the decision module."""
 
 from __future__ import annotations
 
@@ -56,9 +56,10 @@
 
 
 def gateway(*ids: int, seed: int = 7, **changes: Any) -> Gateway:
-    made = Gateway(settings(**changes), seed)
-    made.handle(START, fleet(*(ids or (1, 2, 3, 4))))
-    return made
+    """A gateway with these backends; 1 to 4 by default."""
+    gateway = Gateway(settings(**changes), seed)
+    gateway.handle(START, fleet(*(ids or (1, 2, 3, 4))))
+    return gateway
 
 
 def request(
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,4 +1,8 @@
-"""The five rules as seen from outside one gateway."""
+"""Checks the actions of one gateway against the rules that must hold for any decision module.
+
+Every request gets one final answer in time; nothing is repeated or refused that must not be; draining and
+unknown backends get no attempt; ceilings are kept.
+"""
 
 from __future__ import annotations
 
@@ -26,13 +30,13 @@
 )
 
 
-class RuleBroken(AssertionError):
-    """What was broken and where."""
+class RuleViolation(AssertionError):
+    """A rule is broken; the text names the request and the rule."""
 
 
 @dataclass
 class Try:
-    """A request as the outside knows it."""
+    """A request and its attempts, as seen from outside the gateway."""
 
     event: RequestArrived
     cls: RequestClass
@@ -42,24 +46,24 @@
 
 
 class Checker:
-    """Feeds one gateway and raises as soon as an action breaks a rule."""
+    """Passes events to one gateway, and raises RuleViolation as soon as an action breaks a rule."""
 
     def __init__(self, handle: Callable[[float, Event], list[Action]], settings: Settings) -> None:
         self.handle, self.settings = handle, settings
         self.tries: dict[int, Try] = {}
-        self.told: dict[int, float] = {}  # draining or gone since
-        self.named: dict[int, tuple[int, int]] = {}
-        self.ceilings: dict[int, tuple[float, float]] = {}
+        self.unavailable_since: dict[int, float] = {}  # draining or gone backends
+        self.groups: dict[int, tuple[int, int]] = {}  # zone and cell of each known backend
+        self.ceilings: dict[int, tuple[float, float]] = {}  # by customer: time and level
 
-    def need(self, good: bool, what: str) -> None:
-        if not good:
-            raise RuleBroken(what)
+    def require(self, holds: bool, message: str) -> None:
+        if not holds:
+            raise RuleViolation(message)
 
     def feed(self, now: float, event: Event) -> list[Action]:
         self.observe(now, event)
         actions = self.handle(now, event)
         for action in actions:
-            self.judge(now, action)
+            self.check(now, action)
         return actions
 
     def observe(self, now: float, event: Event) -> None:
@@ -78,73 +82,79 @@
             case FleetUpdate() if event.kind is not ListKind.FAILED:
                 ready = {e.backend for e in event.entries if e.state is BackendState.READY}
                 for e in event.entries:
-                    self.named[e.backend] = (e.zone, e.cell)
+                    self.groups[e.backend] = (e.zone, e.cell)
                     if e.state is not BackendState.READY:
-                        self.told.setdefault(e.backend, now)
+                        self.unavailable_since.setdefault(e.backend, now)
                 if event.kind is not ListKind.CHANGES:
-                    for b in self.named.keys() - ready:
-                        self.told.setdefault(b, now)
+                    for b in self.groups.keys() - ready:
+                        self.unavailable_since.setdefault(b, now)
                 for b in ready:
-                    self.told.pop(b, None)
+                    self.unavailable_since.pop(b, None)
 
     def group(self, backend: int, cls: RequestClass) -> int:
-        zone, cell = self.named[backend]
+        zone, cell = self.groups[backend]
         return {Group.ALL: 0, Group.ZONE: zone, Group.CELL: cell}[cls.group]
 
-    def judge(self, now: float, action: Action) -> None:
+    def check(self, now: float, action: Action) -> None:
         if not isinstance(action, Send | Refuse | Fail | Cancel):
             return
         t = self.tries[action.request]
-        risky = [(sent, b) for sent, b, o in t.sends if o is None or not o.never_ran]
+        may_have_run = [(sent, b) for sent, b, o in t.sends if o is None or not o.never_ran]
         if isinstance(action, Cancel):
             return
-        self.need(not t.closed, f"request {action.request}: {action} after its end")
+        self.require(not t.closed, f"request {action.request}: {action} after its end")
         if isinstance(action, Send):
-            self.judge_send(now, action, t, risky)
+            self.check_send(now, action, t, may_have_run)
             return
-        self.need(
+        self.require(
             now <= t.give_up + self.settings.answer_grace_ms, f"request {action.request}: answered too late"
         )
-        if isinstance(action, Refuse) and risky:
-            good = t.cls.effect is Effect.SAFE or (t.cls.effect is Effect.KEYED and t.cls.group is Group.ALL)
-            self.need(good, f"request {action.request}: refused though it may have run")
+        if isinstance(action, Refuse) and may_have_run:
+            allowed = t.cls.effect is Effect.SAFE or (
+                t.cls.effect is Effect.KEYED and t.cls.group is Group.ALL
+            )
+            self.require(allowed, f"request {action.request}: refused though it may have run")
         t.closed = True
 
-    def judge_send(self, now: float, action: Send, t: Try, risky: list[tuple[float, int]]) -> None:
+    def check_send(self, now: float, action: Send, t: Try, may_have_run: list[tuple[float, int]]) -> None:
         out = any(o is None for _, _, o in t.sends)
-        self.need(not out or self.settings.second_copies, f"request {action.request}: two attempts at once")
-        self.need(len(t.sends) < self.settings.max_attempts, f"request {action.request}: too many attempts")
-        self.need(action.backend in self.named, f"request {action.request}: to an unknown backend")
-        since = self.told.get(action.backend)
-        self.need(
+        self.require(
+            not out or self.settings.second_copies, f"request {action.request}: two attempts at once"
+        )
+        self.require(
+            len(t.sends) < self.settings.max_attempts, f"request {action.request}: too many attempts"
+        )
+        self.require(action.backend in self.groups, f"request {action.request}: to an unknown backend")
+        since = self.unavailable_since.get(action.backend)
+        self.require(
             since is None or now <= since + self.settings.drain_grace_ms,
             f"request {action.request}: to a draining backend",
         )
-        if risky and t.cls.effect is Effect.UNSAFE:
-            raise RuleBroken(f"request {action.request}: unsafe, sent again though it may have run")
-        if risky and t.cls.effect is Effect.KEYED:
-            sent, first = risky[0]
-            self.need(now < sent + t.cls.window_ms, f"request {action.request}: keyed, past its window")
-            self.need(
+        if may_have_run and t.cls.effect is Effect.UNSAFE:
+            raise RuleViolation(f"request {action.request}: unsafe, sent again though it may have run")
+        if may_have_run and t.cls.effect is Effect.KEYED:
+            sent, first = may_have_run[0]
+            self.require(now < sent + t.cls.window_ms, f"request {action.request}: keyed, past its window")
+            self.require(
                 self.group(action.backend, t.cls) == self.group(first, t.cls),
                 f"request {action.request}: keyed, outside its group",
             )
         if not t.sends:
-            self.draw_ceiling(now, t.event)
+            self.charge_ceiling(now, t.event)
         t.sends.append((now, action.backend, None))
 
-    def draw_ceiling(self, now: float, event: RequestArrived) -> None:
-        """This gateway's part of the customer's second store, which a restart finds as it stands."""
+    def charge_ceiling(self, now: float, event: RequestArrived) -> None:
+        """Charge this gateway's part of the customer's ceiling; a restart does not refill it."""
         plan = self.settings.plans[event.plan]
         if not plan.ceiling_rate:
             return
         at, level = self.ceilings.get(event.customer, (now, plan.ceiling_burst / event.width))
         fill = (now - at) / 1000 * plan.ceiling_rate / event.width
         level = min(plan.ceiling_burst / event.width, level + fill) - event.units
-        self.need(level >= -1e-6, f"customer {event.customer}: ceiling passed by {-level}")
+        self.require(level >= -1e-6, f"customer {event.customer}: ceiling exceeded by {-level}")
         self.ceilings[event.customer] = now, level
 
     def finish(self) -> None:
-        """All that was taken is answered."""
+        """Check that every request has a final answer."""
         for number, t in self.tries.items():
-            self.need(t.closed, f"request {number}: never answered")
+            self.require(t.closed, f"request {number}: never answered")
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -413,7 +413,7 @@
     assert left < 5
     module.handle(START, SettingsChanged(settings(plans=(one,), gateways=2, index=0)))
     module.handle(START, request(90, customer=1, width=9))
-    assert customer.even == 0.5 and customer.tokens <= left  # the added part of the bucket is empty
+    assert customer.even_share == 0.5 and customer.tokens <= left  # the added part of the bucket is empty
     # a customer that is new here: other gateways may have spent the added part
     module.handle(START, request(91, customer=2, width=9))
     assert module.customers[2].tokens <= 30 / 3
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -509,7 +509,7 @@
         for n in range(2)
     ]
     core.submit(exchange[1])  # its attempt is outstanding, ends during the stall and may be retried
-    (backend,) = [n for n, b in core.gateway.backends.items() if b.out]
+    (backend,) = [n for n, b in core.gateway.backends.items() if b.outstanding]
     core.resumed.clear()
     acts = {
         "arrive": lambda: core.submit(exchange[0]),
@@ -525,7 +525,7 @@
     for one in exchange:
         if one.number in core.open_exchanges:
             core.withdraw(one, ClientLeft())
-    outstanding = sum(len(b.out) for b in core.gateway.backends.values())
+    outstanding = sum(len(b.outstanding) for b in core.gateway.backends.values())
     started = sum(sender.started.count(n) for n in (0, 1)) - 1  # the end of the first attempt was reported
     assert outstanding == started and not core.withdrawn
     assert sum(b.load > 0 for b in core.gateway.backends.values()) == outstanding
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What must hold at every size: many gateways together, many backends, rare evidence."""
+"""Properties at every size of the fleet: many gateways, many backends, classes with few requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tamarindfold.choice import Gateway
 from tamarindfold.interface import ListKind, Outcome, Plan, Send
 
-WORK_MS = 150.0  # what the requests here are first believed to take
+WORK_MS = 150.0  # initial estimate of the time of a request
 
 
 def sends(g: Gateway, now: float, number: int, cls: int = 0, left: float = 4000.0) -> list[Send]:
@@ -18,7 +18,7 @@
 def cold_work(
     gateways: int, warm: int, cold: int, seconds: int, kind: type[Gateway] = Gateway
 ) -> list[list[float]]:
-    """When each cold backend got work, all starting at once under a flood of tries through every gateway."""
+    """The times at which each cold backend got a request, under a flood of requests through every gateway."""
     got: list[list[float]] = [[] for _ in range(cold)]
     for index in range(gateways):
         base = gateway(
@@ -43,64 +43,63 @@
 def test_all_gateways_together_keep_within_a_cold_backends_budget(
     gateways: int, warm: int, cold: int
 ) -> None:
-    """A part of a 300th of a request is rounded by chance: not everybody sends, and not nobody."""
+    """A budget below one request is rounded at random, so that some gateways send and most do not."""
     got = cold_work(gateways, warm, cold, 9)
-    limit = (
-        2 * 0.2 * 3000 * 3
-    )  # fall multiple x capacity x window, on three cores as the bench's servers have
+    # fall multiple x capacity x window, on three cores as the simulator's servers have
+    limit = 2 * 0.2 * 3000 * 3
     for when in got:
         for begin in when:
             assert sum(begin <= t < begin + 3000 for t in when) * WORK_MS < limit
     assert sum(map(len, got)) > 0
 
 
-class Reckless(Gateway):
-    """A gateway that knows no cold backends, to show that the count above can fail."""
+class NoColdBudget(Gateway):
+    """A gateway that does not limit work for cold backends, to show that the test above can fail."""
 
-    def cold_room(self, now, backend, work) -> bool:
+    def within_cold_budget(self, now, backend, work_ms) -> bool:
         return True
 
 
-def test_the_count_of_cold_work_sees_a_reckless_fleet() -> None:
-    got = cold_work(60, 20, 10, 9, Reckless)
+def test_cold_backends_are_overloaded_without_a_budget() -> None:
+    got = cold_work(60, 20, 10, 9, NoColdBudget)
     assert any(sum(t < START + 3000 for t in when) * WORK_MS > 3600 for when in got)
 
 
-def test_each_backend_is_kept_to_by_as_many_gateways() -> None:
-    met = dict.fromkeys(range(1, 71), 0)
+def test_backends_are_in_the_subsets_of_equally_many_gateways() -> None:
+    users = dict.fromkeys(range(1, 71), 0)
     for index in range(300):
-        g = gateway(*met, gateways=300, index=index)
+        g = gateway(*users, gateways=300, index=index)
         g.handle(START, request(1))
-        for backend in g.near(g.calls[1]):
-            met[backend.entry.backend] += 1
-    assert min(met.values()) >= 5
-    assert max(met.values()) <= 1.5 * min(met.values())
+        for backend in g.candidates(g.calls[1]):
+            users[backend.entry.backend] += 1
+    assert min(users.values()) >= 5
+    assert max(users.values()) <= 1.5 * min(users.values())
 
 
-def test_the_work_of_an_event_does_not_grow_with_the_fleet() -> None:
-    """Counted in backends looked at, not in seconds."""
-    looked = {}
+def test_the_cost_of_an_event_does_not_grow_with_the_fleet() -> None:
+    """Measured by the number of backends compared."""
+    compared = {}
     for backends in (10, 1000):
 
         class Counting(Gateway):
-            seen = 0
+            forecasts = 0
 
-            def forecast(self, now, backend, call, fleet) -> float:
-                Counting.seen += 1
-                return super().forecast(now, backend, call, fleet)
+            def forecast(self, now, backend, call, fleet_slowness) -> float:
+                Counting.forecasts += 1
+                return super().forecast(now, backend, call, fleet_slowness)
 
         g = Counting(gateway(gateways=2).settings, 1)
         g.handle(START, fleet(*range(1, backends + 1)))
         for n in range(100):
             for send in sends(g, START + n * 10, n):
                 g.handle(START + n * 10, ended(n, send.backend))
-        looked[backends] = Counting.seen / 100
-    assert looked[10] <= 10
-    assert looked[1000] <= 16
+        compared[backends] = Counting.forecasts / 100
+    assert compared[10] <= 10
+    assert compared[1000] <= 16
 
 
-def test_a_backend_that_fails_one_class_loses_that_class_only() -> None:
-    """Found on hobart-tariffs-later: good answers of one class covered for the failures of another."""
+def test_a_backend_that_fails_one_class_is_avoided_for_that_class_only() -> None:
+    """Good answers of one class once concealed the failures of another."""
     g = gateway(*range(1, 6), classes=(SAFE, UNSAFE), plans=(Plan(0, 0),))
     got = {0: 0, 1: 0}
     for n in range(1200):
@@ -111,11 +110,11 @@
             g.handle(
                 now, ended(n, send.backend, Outcome.ERROR if bad else Outcome.OK, took=150.0 + 150.0 * cls)
             )
-    assert got[1] < 40  # of 550, a fifth of which would be 110
+    assert got[1] < 40  # an even fifth of the 550 would be 110
     assert got[0] > 60
 
 
-def test_backends_that_left_are_forgotten() -> None:
+def test_removed_backends_are_dropped() -> None:
     g = gateway(1)
     for n in range(2, 500):
         g.handle(START, fleet(n, kind=ListKind.FULL))
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""What goes wrong between client, gateway and servers, each over real sockets."""
+"""Faults of tokens, clients, servers and the counter, each over real sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 # ---- tokens
 
 
-def test_a_hanging_token_check_refuses_in_the_clients_time(rig) -> None:
+def test_a_hanging_token_check_is_refused_within_the_clients_time(rig) -> None:
     r = rig(introspection={"timeout_ms": 60_000})
     r.tokens.inject(Fault(kind="hang"))
     answer = r.ask("/switches", "POST", tamarind_time_left="300")
@@ -23,7 +23,7 @@
     assert r.ingress.core.counts["arrived"] == 0
 
 
-def test_a_class_may_take_an_aged_answer_and_the_others_may_not(rig) -> None:
+def test_a_stale_token_answer_is_used_only_for_classes_that_allow_it(rig) -> None:
     from rig import CLASSES
 
     classes = [CLASSES[0] | {"unchecked": "stale"}, *CLASSES[1:]]
@@ -32,11 +32,11 @@
     r.tokens.inject(Fault(kind="error", status=500))
     assert r.ask().status == 200
     assert r.ask("/switches", "POST").status == 503
-    assert r.ask(token="small").status == 503  # never seen: there is nothing to fall back on
+    assert r.ask(token="small").status == 503  # not in the cache
 
 
 @pytest.mark.parametrize("kind", ["error", "not_json", "wrong_type", "close"])
-def test_an_answer_that_says_nothing_is_no_yes(rig, kind) -> None:
+def test_an_invalid_introspection_answer_does_not_admit(rig, kind) -> None:
     r = rig()
     r.tokens.inject(Fault(kind=kind, status=503))
     answer = r.ask()
@@ -48,39 +48,39 @@
 SHORT = {"short": {"sub": "a", "plan": "open", "scope": "switch", "exp_in_ms": 600_000}}
 
 
-def let_it_expire(r) -> None:
-    """The gateway's clock goes on by more than the token's life; nobody waits for it."""
+def advance_past_expiry(r) -> None:
+    """Advance the gateway's clock beyond the token's lifetime."""
     r.ingress.steady._base_ms += 601_000
 
 
-def let_it_run_out(r) -> None:
-    """The tokens of the requests now held are no good from here on."""
+def expire_tokens_of_open_requests(r) -> None:
+    """Let the tokens of all open requests expire now."""
     for exchange in r.ingress.core.open_exchanges.values():
         exchange.token_until_ms = r.ingress.steady.now()
 
 
-def late_connect(r, before) -> None:
-    """Something happens while the gateway connects to a server."""
+def before_connect(r, action) -> None:
+    """Call the action whenever the gateway is about to connect to a server."""
     connect = r.ingress.pool.connect
 
-    def slow(backend, address, within_s):
-        before(backend)
+    def act_and_connect(backend, address, within_s):
+        action(backend)
         return connect(backend, address, within_s)
 
-    r.ingress.pool.connect = slow
+    r.ingress.pool.connect = act_and_connect
 
 
-def test_a_token_that_ran_out_between_two_tries_is_no_good_though_kept(rig) -> None:
+def test_a_cached_token_is_rejected_after_its_expiry(rig) -> None:
     r = rig(tokens=SHORT)
     assert r.ask(token="short").status == 200
-    let_it_expire(r)
+    advance_past_expiry(r)
     answer = r.ask(token="short")
     assert (answer.status, answer.outcome) == (401, "rejected")
 
 
-def test_a_token_that_runs_out_between_look_up_and_send_sends_nothing(rig) -> None:
+def test_nothing_is_sent_if_the_token_expires_while_connecting(rig) -> None:
     r = rig(tokens=SHORT)
-    late_connect(r, lambda _: let_it_run_out(r))
+    before_connect(r, lambda _: expire_tokens_of_open_requests(r))
     answer = r.ask("/switches", "POST", token="short")
     assert (answer.status, answer.headers["www-authenticate"].count("invalid_token")) == (401, 1)
     assert not r.entries("received")
@@ -88,11 +88,11 @@
     assert not r.ingress.core.gateway.calls
 
 
-def test_a_token_that_runs_out_between_attempts_ends_the_request_as_failed(rig) -> None:
+def test_a_token_that_expires_between_attempts_fails_the_request(rig) -> None:
     r = rig(servers=3, tokens=SHORT)
     for server in r.servers:
         server.inject(Fault(kind="reset_after_run"))
-    late_connect(r, lambda _: let_it_run_out(r) if r.entries("ran") else None)
+    before_connect(r, lambda _: expire_tokens_of_open_requests(r) if r.entries("ran") else None)
     answer = r.ask(token="short")
     assert (answer.status, answer.outcome) == (502, "failed")
     assert len(r.entries("received")) == 1
@@ -101,7 +101,7 @@
 # ---- clients
 
 
-def test_a_client_that_leaves_mid_body_never_was(rig) -> None:
+def test_a_client_that_disconnects_within_the_body_is_not_counted_as_arrived(rig) -> None:
     r = rig()
     sock = r.connect()
     sock.sendall(request("/switches", "POST", body=b"x" * 100)[:-50])
@@ -112,7 +112,7 @@
     assert r.ingress.core.counts["arrived"] == 1
 
 
-def test_a_client_that_leaves_while_it_waits_is_withdrawn_and_nothing_more_is_sent(rig) -> None:
+def test_a_request_is_not_sent_again_after_its_client_disconnected(rig) -> None:
     r = rig(server={"default_work_ms": 400.0, "sigma": 0.0})
     for server in r.servers:
         server.inject(Fault(kind="reset_after_run"))
@@ -126,7 +126,7 @@
     assert not r.ingress.core.gateway.calls
 
 
-def test_a_client_that_leaves_mid_answer_costs_nobody_else(rig) -> None:
+def test_a_client_that_resets_within_an_answer_does_not_affect_others(rig) -> None:
     r = rig()
     sock = r.connect()
     sock.sendall(request("/quotes") * 40)
@@ -137,7 +137,7 @@
     wait_for(lambda: r.ingress.front.in_flight == 0)
 
 
-def test_headers_that_trickle_are_cut_off(rig) -> None:
+def test_slowly_sent_headers_time_out(rig) -> None:
     r = rig(limits={"header_timeout_ms": 200})
     sock = r.connect()
     sock.sendall(b"GET /quotes HTTP/1.1\r\nHost: a\r\nX-Slow: ")
@@ -186,7 +186,7 @@
         (b"\x16\x03\x01\x02\x00\x01\x00", 400),
     ],
 )
-def test_what_could_be_read_in_two_ways_is_turned_away(rig, data, status) -> None:
+def test_ambiguous_and_oversized_requests_are_rejected(rig, data, status) -> None:
     r = rig(limits={"body_bytes": 40_000})
     answer = r.raw(data)
     assert (answer.status, answer.headers["connection"]) == (status, "close")
@@ -205,7 +205,7 @@
     assert data.count(b"HTTP/1.1 200 OK") == 6
 
 
-def test_http_1_0_gets_one_answer_and_the_end(rig) -> None:
+def test_an_http_1_0_connection_is_closed_after_one_answer(rig) -> None:
     r = rig()
     sock = r.connect()
     sock.sendall(b"GET /quotes HTTP/1.0\r\nAuthorization: Bearer good\r\n\r\n")
@@ -213,7 +213,7 @@
     assert sock.recv(1) == b""
 
 
-def test_a_client_that_waits_for_100_continue_is_told_to_go_on(rig) -> None:
+def test_a_client_that_expects_100_continue_gets_it(rig) -> None:
     r = rig()
     sock = r.connect()
     sock.sendall(
@@ -237,18 +237,16 @@
 # ---- servers
 
 
-def test_a_server_that_answers_before_the_body_ends(rig) -> None:
+def test_a_server_that_answers_before_the_end_of_the_body(rig) -> None:
     r = rig(servers=1, limits={"body_bytes": 8 << 20})
     r.servers[0].inject(Fault(kind="early_answer"))
     answer = r.ask("/switches", "POST", body=b"x" * (4 << 20))
-    assert answer.outcome in (
-        "served",
-        "failed",
-    )  # as its system delivers the answer, or a reset in its place
-    assert len(r.entries("early")) == 1  # and the switch is not sent a second time
+    # the operating system delivers either the answer or a reset
+    assert answer.outcome in ("served", "failed")
+    assert len(r.entries("early")) == 1  # the request is not sent a second time
 
 
-def test_a_server_that_answers_twice_loses_its_connection(rig) -> None:
+def test_a_second_answer_on_a_connection_is_discarded_with_the_connection(rig) -> None:
     r = rig(servers=1)
     r.servers[0].inject(Fault(kind="answer_twice"))
     bodies = [r.ask().body for _ in range(6)]
@@ -257,7 +255,7 @@
 
 
 @pytest.mark.parametrize(("path", "method"), [("/quotes", "GET"), ("/switches", "POST")])
-def test_a_server_that_closes_mid_chunk_has_not_answered(rig, path, method) -> None:
+def test_an_answer_cut_off_within_a_chunk_is_not_delivered(rig, path, method) -> None:
     r = rig(servers=3)
     for server in r.servers:
         server.inject(Fault(kind="close_mid_chunk"))
@@ -266,7 +264,7 @@
     assert len(r.entries("received")) == (1 if method == "POST" else 3)
 
 
-def test_a_switch_whose_answer_is_lost_is_failed_not_repeated(rig) -> None:
+def test_an_unsafe_request_whose_answer_is_lost_fails_and_is_not_repeated(rig) -> None:
     r = rig(servers=3)
     for server in r.servers:
         server.inject(Fault(kind="drop_answer"))
@@ -275,7 +273,7 @@
     assert len(r.entries("ran")) == 1
 
 
-def test_a_server_that_closes_idle_connections_puts_no_switch_in_doubt(rig) -> None:
+def test_idle_connections_closed_by_the_server_do_not_fail_unsafe_requests(rig) -> None:
     r = rig(servers=1)
     r.servers[0].inject(Fault(kind="close_idle"))
     for _ in range(10):
@@ -283,7 +281,7 @@
     assert r.ingress.pool.counts["reused"] == 0
 
 
-def test_a_drain_heard_while_connecting_sends_nothing_there(rig) -> None:
+def test_nothing_is_sent_to_a_server_that_drains_while_connecting(rig) -> None:
     r = rig(servers=2)
     drained = []
 
@@ -291,35 +289,35 @@
         if not drained:
             drained.append(backend)
             entry = r.ingress.core.fleet[backend]
-            news = type(entry)(backend, BackendState.DRAINING, entry.zone)
-            r.ingress.core.update_fleet(FleetUpdate(ListKind.CHANGES, [news]))
+            update = type(entry)(backend, BackendState.DRAINING, entry.zone)
+            r.ingress.core.update_fleet(FleetUpdate(ListKind.CHANGES, [update]))
 
-    late_connect(r, drain)
+    before_connect(r, drain)
     assert r.ask("/switches", "POST").outcome == "served"
     assert len(r.entries("received")) == 1
     assert r.ingress.core.counts["moot"] == 1
     assert r.ingress.core.counts["attempts"] == 2
-    left = next(s for s in r.servers if int(s.address.rpartition(":")[2]) == drained[0] & 0xFFFF)
-    assert not left.ledger.of("received")
+    drained_server = next(s for s in r.servers if int(s.address.rpartition(":")[2]) == drained[0] & 0xFFFF)
+    assert not drained_server.ledger.of("received")
 
 
-def test_a_server_that_restarted_while_connecting_is_chosen_anew(rig) -> None:
+def test_another_choice_is_made_if_a_server_restarts_while_connecting(rig) -> None:
     r = rig(servers=1)
-    times = []
+    restarted = []
 
     def restart(backend: int) -> None:
-        if not times:
-            times.append(backend)
+        if not restarted:
+            restarted.append(backend)
             entry = r.ingress.core.fleet[backend]
-            news = type(entry)(backend, BackendState.READY, up_since_ms=r.ingress.steady.now())
-            r.ingress.core.update_fleet(FleetUpdate(ListKind.CHANGES, [news]))
+            update = type(entry)(backend, BackendState.READY, up_since_ms=r.ingress.steady.now())
+            r.ingress.core.update_fleet(FleetUpdate(ListKind.CHANGES, [update]))
 
-    late_connect(r, restart)
+    before_connect(r, restart)
     r.ask()
     assert r.ingress.core.counts["moot"] == 1
 
 
-def test_no_server_there_is_a_refusal_for_a_switch_too(rig) -> None:
+def test_unreachable_servers_lead_to_a_refusal_of_an_unsafe_request(rig) -> None:
     r = rig(servers=2)
     for server in r.servers:
         server.stop()
@@ -327,7 +325,7 @@
     assert (answer.status, answer.outcome) == (503, "refused")
 
 
-def test_the_servers_true_units_are_believed_only_within_bounds(rig) -> None:
+def test_reported_true_units_are_used_only_within_bounds(rig) -> None:
     from tamarindfold.http1.responses import ResponseReader
 
     r = rig()
@@ -341,7 +339,7 @@
 # ---- the counter
 
 
-def test_an_answer_for_a_counter_call_long_given_up_is_counted_off(rig) -> None:
+def test_a_late_answer_to_a_timed_out_counter_call_is_discarded(rig) -> None:
     r = rig(counter=True)
     r.ask(token="small")
     r.counter.inject(Fault(kind="mute", for_ms=900))
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -145,9 +145,9 @@
 class Repeating(Gateway):
     """Sends everything again, whatever it was."""
 
-    def again(self, now, call):
-        if len(call.tried) < 3:
-            return self.send(now, call, call.tried[-1])
+    def retry_or_finish(self, now, call):
+        if len(call.attempted) < 3:
+            return self.send(now, call, call.attempted[-1])
         self.actions.append(Fail(call.event.request))
         self.calls.pop(call.event.request, None)
 
@@ -164,7 +164,7 @@
 
 def test_a_switch_refused_that_may_have_run(rig, tmp_path) -> None:
     class Forgiving(Gateway):
-        def again(self, now, call):
+        def retry_or_finish(self, now, call):
             self.actions.append(Refuse(call.event.request, 10.0))
             self.calls.pop(call.event.request, None)
 
@@ -179,11 +179,11 @@
 
 def test_a_send_after_a_drain(rig, tmp_path) -> None:
     class Deaf(Gateway):
-        def fleet(self, now, event):
+        def on_fleet_update(self, now, event):
             if not self.backends:
-                super().fleet(now, event)
+                super().on_fleet_update(now, event)
 
-        def choose(self, now, call, patience=0.0):
+        def choose_backend(self, now, call, max_wait_ms=0.0):
             return next(iter(self.backends.values()))  # the drained one, however fast either answers
 
     r = rig(plans=CAPPED, make=Deaf)
@@ -202,9 +202,9 @@
 
 def test_the_core_keeps_a_drain_that_the_module_missed(rig, tmp_path) -> None:
     class Deaf(Gateway):
-        def fleet(self, now, event):
+        def on_fleet_update(self, now, event):
             if not self.backends:
-                super().fleet(now, event)
+                super().on_fleet_update(now, event)
 
     r = rig(plans=CAPPED, make=Deaf)
     found = verdicts(
@@ -217,10 +217,10 @@
 
 def test_a_cold_server_flooded(rig, tmp_path) -> None:
     class Careless(Gateway):
-        def cold_room(self, now, backend, work):
+        def within_cold_budget(self, now, backend, work_ms):
             return True
 
-        def choose(self, now, call, patience=0.0):
+        def choose_backend(self, now, call, max_wait_ms=0.0):
             return next(iter(self.backends.values()))
 
     r = rig(
@@ -246,8 +246,8 @@
 
 def test_a_ceiling_passed(rig, tmp_path) -> None:
     class Uncapped(Gateway):
-        def customer(self, now, event):
-            customer = super().customer(now, event)
+        def customer_for(self, now, event):
+            customer = super().customer_for(now, event)
             customer.cap_tokens = 1e9
             return customer
 
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -21,7 +21,7 @@
 from test_judge import day as judged_day
 
 from tamarindfold.choice import Gateway
-from tamarindfold.interface import Count, UsePassed
+from tamarindfold.interface import Count, ExternalUse
 from tamarindfold.membership.feed import ServerLine
 from tamarindfold.rehearsal.evidence import join
 from tamarindfold.rehearsal.judge import judge
@@ -246,11 +246,11 @@
     core, posted = p.r.ingress.core, []
     real = core.gateway.handle
     core.gateway.handle = lambda now, event: (
-        posted.append(event) or (real(now, event) if isinstance(event, UsePassed) else [])
+        posted.append(event) or (real(now, event) if isinstance(event, ExternalUse) else [])
     )
     assert p.ask(token="small", tamarind_units="2", tamarind_request="n1").status == 200  # let through
     wait_for(lambda: p.permits["charged"] == 1)
-    (passed,) = [e for e in posted if isinstance(e, UsePassed)]
+    (passed,) = [e for e in posted if isinstance(e, ExternalUse)]
     customer = core.gateway.customers[passed.customer]
     assert passed.units == 2 and customer.tokens < customer.plan.burst - 1.9
 
@@ -330,11 +330,11 @@
 class Seen(Gateway):
     """Remembers what the counter's totals start from."""
 
-    def customer(self, now, event):
+    def customer_for(self, now, event):
         known = event.customer in self.customers
-        customer = super().customer(now, event)
+        customer = super().customer_for(now, event)
         if not known:
-            self.first = getattr(self, "first", 0.0) + customer.debt
+            self.first = getattr(self, "first", 0.0) + customer.unreported_units
         return customer
 
     def handle(self, now, event):
@@ -361,11 +361,11 @@
         assert by(tamarind_units=str(units)).status == 200
     gateway = p.r.ingress.core.gateway
     counter = p.r.counter
-    wait_for(lambda: not gateway.counts)
+    wait_for(lambda: not gateway.pending_counts)
     (customer,) = gateway.customers.values()
     total = sum(counter.totals.values())
     assert total == pytest.approx(gateway.added)
-    assert total + customer.debt - gateway.first == pytest.approx(asked)
+    assert total + customer.unreported_units - gateway.first == pytest.approx(asked)
 
 
 def test_open_requests_of_a_plan_over_both_fronts(proxied) -> None:
@@ -512,11 +512,11 @@
 
 def test_a_permit_for_a_drained_server_is_found(proxied, tmp_path) -> None:
     class Deaf(Gateway):
-        def fleet(self, now, event):
+        def on_fleet_update(self, now, event):
             if not self.backends:
-                super().fleet(now, event)
+                super().on_fleet_update(now, event)
 
-        def choose(self, now, call, patience=0.0):
+        def choose_backend(self, now, call, max_wait_ms=0.0):
             return next(iter(self.backends.values()))
 
     p = proxied(make=Deaf, plans=CAPPED)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -29,11 +29,11 @@
     Outcome,
     Plan,
     Refuse,
-    Remembered,
+    CustomerSnapshot,
     RequestArrived,
-    Restored,
+    StateRestored,
     Send,
-    StoodStill,
+    GatewayStalled,
 )
 from tamarindfold.recovery import format as files
 from tamarindfold.recovery.driver import Recorder
@@ -72,7 +72,7 @@
 
 ROWS = st.lists(
     st.builds(
-        Remembered,
+        CustomerSnapshot,
         st.integers(0, 2**33),
         st.just(0),
         st.integers(1, 9),
@@ -89,7 +89,7 @@
 HEADER = files.Header(files.configuration(SETTINGS), 0, 3, START, False, ("capped",), (12.5,))
 
 
-def snapshot(rows: list[Remembered], header: files.Header = HEADER) -> bytes:
+def snapshot(rows: list[CustomerSnapshot], header: files.Header = HEADER) -> bytes:
     return files.header(header) + (files.customers(rows) if rows else b"") + files.end(len(rows))
 
 
@@ -99,7 +99,7 @@
 
 
 def test_a_snapshot_cut_or_altered_anywhere_is_refused() -> None:
-    data = snapshot([Remembered(7, 0, 2, [START], START)])
+    data = snapshot([CustomerSnapshot(7, 0, 2, [START], START)])
     for cut in range(len(data)):
         with pytest.raises(files.BadSnapshot):
             files.read(data[:cut])
@@ -134,7 +134,10 @@
 
 
 def test_snapshot_and_journals_come_together() -> None:
-    rows = [Remembered(1, 0, 2, [10.0, 20.0], 20.0, cap_tokens=3.0, at_ms=5.0), Remembered(2, 1, 2, [], 0.0)]
+    rows = [
+        CustomerSnapshot(1, 0, 2, [10.0, 20.0], 20.0, cap_tokens=3.0, at_ms=5.0),
+        CustomerSnapshot(2, 1, 2, [], 0.0),
+    ]
     header = replace(HEADER, plans=("capped", "gone"))
     entries = files.Entries(
         [(1, 0, 2, 20.0), (1, 0, 2, 30.0), (3, 0, 2, 40.0), (4, 1, 2, 9.0), (4, 9, 2, 9.0)],
@@ -151,7 +154,7 @@
 
 
 def test_rows_worth_keeping() -> None:
-    row = Remembered(1, 0, 2, [], START, cap_tokens=3.0, at_ms=START)
+    row = CustomerSnapshot(1, 0, 2, [], START, cap_tokens=3.0, at_ms=START)
     assert keeps(row, SETTINGS, START - 1)  # a promise ahead
     assert keeps(row, SETTINGS, START + 59_000) and not keeps(row, SETTINGS, START + 61_000)
     assert not keeps(replace(row, plan=-1), SETTINGS, START + 1)
@@ -267,14 +270,17 @@
     recorder.refused(9, 0, 2, START + 500)
     write(recorder)
     gateway, _ = life(tmp_path, now)
-    assert gateway.unit_ms == [42.0] and gateway.mean_work == 42.0
+    assert gateway.unit_ms == [42.0] and gateway.mean_work_ms == 42.0
 
 
 def test_a_newcomer_is_not_overwritten_and_an_unknown_plan_is_left_out() -> None:
     gateway = Gateway(SETTINGS, 1)
     gateway.handle(START, request(1, customer=5))
     before = gateway.customers[5]
-    gateway.handle(START, Restored([Remembered(5, 0, 2, [], 1.0), Remembered(6, 4, 2, [], 1.0)], [1.0, 2.0]))
+    gateway.handle(
+        START,
+        StateRestored([CustomerSnapshot(5, 0, 2, [], 1.0), CustomerSnapshot(6, 4, 2, [], 1.0)], [1.0, 2.0]),
+    )
     assert gateway.customers[5] is before and 6 not in gateway.customers and len(gateway.unit_ms) == 1
 
 
@@ -396,11 +402,11 @@
         gateway.handle(START, fleet(1, 2))
         (sent,) = gateway.handle(START, request(1))
         if still:
-            gateway.handle(START + 2000, StoodStill(2000.0))
+            gateway.handle(START + 2000, GatewayStalled(2000.0))
         gateway.handle(START + 2000, AttemptEnded(1, 0, sent.backend, Outcome.TIMEOUT, 2000.0, False))
         slow = gateway.backends[sent.backend].slowness[0].value
         assert (slow == 1.0) is still
-        assert not gateway.backends[sent.backend].out
+        assert not gateway.backends[sent.backend].outstanding
 
 
 def test_silence_is_counted_from_the_awakening() -> None:
@@ -410,7 +416,7 @@
     call = next(iter(gateway.calls.values()))
     backend = gateway.backends[1]
     assert gateway.forecast(START + 3000, backend, call, 1.0) > 2000
-    gateway.handle(START + 3000, StoodStill(3000.0))
+    gateway.handle(START + 3000, GatewayStalled(3000.0))
     assert gateway.forecast(START + 3000, backend, call, 1.0) < 2000
 
 
@@ -429,12 +435,12 @@
     wait_for(lambda: core.counts["arrived"])
     assert not any(isinstance(e, RequestArrived) for e in seen) and not core.resumed.is_set()
     core.update_fleet(FleetUpdate(ListKind.CHANGES, [replace(entry, state=BackendState.DRAINING)]))
-    assert [type(e) for e in seen] == [StoodStill, FleetUpdate]
+    assert [type(e) for e in seen] == [GatewayStalled, FleetUpdate]
     core.resumed.set()
     core._process_events()
     assert job.get().status == 200
     kinds = [type(e) for e in seen]
-    assert kinds.index(StoodStill) < kinds.index(FleetUpdate) < kinds.index(RequestArrived)
+    assert kinds.index(GatewayStalled) < kinds.index(FleetUpdate) < kinds.index(RequestArrived)
     assert not drained.ledger.of("received") and core.counts["stalls"] == 1
 
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -231,7 +231,9 @@
         ["small@1"],
         ["large@1"],
     ]
-    versions = [r.ingress.core.gateway.name(0.0, r.ingress.core.gateway.customers[1])[0] >> 64 for r in rigs]
+    versions = [
+        r.ingress.core.gateway.counter_name(0.0, r.ingress.core.gateway.customers[1])[0] >> 64 for r in rigs
+    ]
     assert versions == [0, 0, 1]  # indexes into the list of plans
 
 
@@ -307,7 +309,7 @@
 def test_plan_change_keeps_what_was_used(old, new, used, left) -> None:
     customer = Customer(Plan(1, old), 1, 0.0)
     customer.tokens -= used
-    customer.change(Plan(1, new, version=1))
+    customer.change_plan(Plan(1, new, version=1))
     assert customer.tokens == left
 
 
@@ -316,7 +318,7 @@
     customer = Customer(small, 1, 0.0)
     spent = 0.0
     for plan in [large, small] * 10:
-        customer.change(plan)
+        customer.change_plan(plan)
         spent += max(0.0, customer.tokens)
         customer.tokens = min(0.0, customer.tokens)
     assert spent == 100
@@ -325,5 +327,5 @@
 def test_change_from_no_quota_to_a_quota_starts_with_a_full_bucket() -> None:
     customer = Customer(Plan(0, 0), 1, 0.0)
     customer.tokens -= 5000
-    customer.change(Plan(1, 20, version=1))
+    customer.change_plan(Plan(1, 20, version=1))
     assert customer.tokens == 20
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""The five rules: plain sequences, odd legal orders, and proof that the checker can fail."""
+"""The rules for final answers, repeats, drains, cold backends and ceilings, in fixed and in random event orders.
+
+Faulty gateways show that the checker detects violations.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 import pytest
 from build import START, ended, fleet, gateway, request, settings
-from checker import Checker, RuleBroken
+from checker import Checker, RuleViolation
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -37,7 +40,9 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN + NEVER_RAN)
 @pytest.mark.parametrize("cls", [SAFE, KEYED, KEYED_ALL, UNSAFE])
-def test_further_attempts_follow_the_class_and_the_proof(cls: int, outcome: Outcome) -> None:
+def test_further_attempts_depend_on_the_class_and_on_whether_the_request_may_have_run(
+    cls: int, outcome: Outcome
+) -> None:
     g = gateway()
     send = first_send(g, 1, cls)
     (action,) = g.handle(START + 50, ended(1, send.backend, outcome))
@@ -54,7 +59,9 @@
 @pytest.mark.parametrize(
     ("cls", "kind"), [(KEYED, Fail), (KEYED_ALL, Refuse), (UNSAFE, Fail), (SAFE, Refuse)]
 )
-def test_no_send_past_the_window_and_no_false_promise(cls: int, kind: type) -> None:
+def test_no_repeat_after_the_deduplication_window_and_no_refusal_of_what_may_have_run(
+    cls: int, kind: type
+) -> None:
     g = gateway(max_attempts=3 if cls in (KEYED, KEYED_ALL) else 1)
     send = first_send(g, 1, cls)
     (action,) = g.handle(START + 3000, ended(1, send.backend, Outcome.RESET, took=3000))
@@ -86,7 +93,7 @@
     assert sends <= 500 * 1.1 + 10
 
 
-def test_nothing_new_goes_to_a_draining_or_vanished_backend_even_on_a_retry() -> None:
+def test_draining_and_removed_backends_get_no_new_attempt_or_retry() -> None:
     g = gateway(1, 2)
     send = first_send(g, 1, SAFE)
     other = 3 - send.backend
@@ -105,10 +112,10 @@
     assert first_send(g, 2, SAFE).backend == 1
 
 
-def test_a_cold_backend_gets_its_part_in_any_window() -> None:
-    """A flood while one backend is cold: within any 3 s it takes less than twice its guaranteed part."""
+def test_a_cold_backend_is_kept_within_its_budget_in_any_window() -> None:
+    """Under a flood of requests a cold backend gets less than twice its guaranteed capacity in any 3 s."""
     g = gateway(1, 2, 3)
-    for n in range(300):  # warm up what is known of the fleet
+    for n in range(300):  # let the gateway learn the usual times
         send = first_send(g, n, SAFE, START + n * 20)
         g.handle(START + n * 20 + 15, ended(n, send.backend, took=150))
     begin = START + 6000
@@ -125,8 +132,8 @@
     for t in [t for t in cold if t <= sends[-1][0] - 3000]:
         inside = sum(t <= u < t + 3000 for u in cold)
         warm = sum(t <= u < t + 3000 for u, b in sends if b != 4) / 3
-        part = 0.2 + 0.8 * min(1, (t + 1500 - begin) / 10_000)  # its mean over the window
-        assert inside <= 2 * part * warm + 1
+        warmth = 0.2 + 0.8 * min(1, (t + 1500 - begin) / 10_000)  # mean over the window
+        assert inside <= 2 * warmth * warm + 1
 
 
 def test_a_ceiling_starts_empty_and_holds_across_a_restart() -> None:
@@ -146,7 +153,7 @@
     assert 40 <= sent <= 50  # 5 units a second for 10 s
 
 
-def test_harmless_events() -> None:
+def test_events_for_unknown_requests_and_an_empty_fleet_are_harmless() -> None:
     for make in (lambda: Gateway(settings(), 1), lambda: gateway(1)):
         g = make()
         assert g.handle(START, ended(77, 5)) == []
@@ -162,8 +169,8 @@
     assert g.handle(START + 2, ended(2, send.backend, Outcome.RESET)) == []
 
 
-def test_an_idle_fleet_is_used_after_any_trouble() -> None:
-    """Guards against evidence that keeps itself alive: all answers bad, then nothing out."""
+def test_an_idle_fleet_is_used_again_after_failures() -> None:
+    """After nothing but failures no request may be sent, and no outcome could then improve the slowness."""
     g = gateway()
     for n in range(200):
         for a in g.handle(START + n, request(n)):
@@ -172,15 +179,15 @@
     assert first_send(g, 999, SAFE, START + 300)
 
 
-def test_a_pressed_fleet_is_not_piled_up() -> None:
-    """Guards against piles that take the whole aim: nothing answers, what is out stays bounded."""
+def test_an_overloaded_fleet_gets_a_bounded_number_of_requests() -> None:
+    """While nothing is answered, the queues must not grow until the wait uses up the whole aim."""
     g = gateway()
     sent = sum(isinstance(a, Send) for n in range(2000) for a in g.handle(START + n, request(n)))
     assert 4 <= sent < 200
 
 
-def test_an_overdue_attempt_counts_before_its_answer() -> None:
-    """Found in incident i208070: after a crash the rest was overdriven long before its late answers told so."""
+def test_an_overdue_attempt_raises_the_forecast_before_its_answer() -> None:
+    """Incident i208070: after a crash the other backends were overloaded long before late answers showed it."""
     g = gateway(1, 2)
     send = first_send(g, 1, UNSAFE)
     later = START + 2000
@@ -198,19 +205,19 @@
     assert min(seen[1:]) > 60
 
 
-def test_a_failing_backend_is_avoided_and_later_tried_again() -> None:
+def test_a_failing_backend_is_avoided_and_tried_again_ever_less_often() -> None:
     g = gateway()
-    tries = []
+    attempts = []
     for n in range(2000):
         now = START + n * 10
         send = first_send(g, n, UNSAFE, now)
         bad = send.backend == 1
-        tries += [now] * bad
+        attempts += [now] * bad
         g.handle(
             now + 5, ended(n, send.backend, Outcome.ERROR if bad else Outcome.OK, took=5 if bad else 150)
         )
-    assert len(tries) < 60
-    assert tries[-1] > START + 5_000  # ever more rarely while it goes on failing
+    assert len(attempts) < 60
+    assert attempts[-1] > START + 5_000
 
 
 STEPS = st.lists(
@@ -224,12 +231,13 @@
 )
 
 
-def play(handle, s, steps, restart=None) -> Checker:
+def run_steps(handle, s, steps, restart=None) -> Checker:
+    """Feed the events of these steps, in an order that the interface allows."""
     checker = Checker(handle, s)
     now, number, out = START, 0, []
     checker.feed(now, fleet(1, 2, 3, 4))
 
-    def took(actions: list) -> None:
+    def record_sends(actions: list) -> None:
         for a in actions:
             if isinstance(a, Send):
                 out.append((a.request, len(checker.tries[a.request].sends) - 1, a.backend, now))
@@ -238,18 +246,18 @@
         call, attempt, backend, sent = out.pop(pick)
         t = checker.tries[call]
         over = t.closed or outcome is Outcome.OK
-        took(checker.feed(now, AttemptEnded(call, attempt, backend, outcome, now - sent, over)))
+        record_sends(checker.feed(now, AttemptEnded(call, attempt, backend, outcome, now - sent, over)))
 
     for what, pick, gap in steps:
         now += gap
-        for i in reversed(range(len(out))):  # time-outs at the deadline come on time
+        for i in reversed(range(len(out))):  # attempts time out exactly at the deadline
             if checker.tries[out[i][0]].give_up <= now:
                 late, now = now, checker.tries[out[i][0]].give_up
                 end(i, Outcome.TIMEOUT)
                 now = late
         if what == "ask":
             number += 1
-            took(
+            record_sends(
                 checker.feed(
                     now, request(number, pick % 4, pick % 3, units=1 + pick % 4, left=500 + pick % 4000)
                 )
@@ -260,19 +268,21 @@
             checker.feed(now, RequestWithdrawn(1 + pick % number))
         elif what == "fleet":
             state, kind = list(BackendState)[pick % 3], list(ListKind)[pick // 3 % 4]
-            ids = [
-                i for i in (1, 2, 3, 4) if pick >> (i + 4) & 1 and kind is not ListKind.FAILED
-            ]  # it has none
+            # a failed list has no entries
+            ids = [i for i in (1, 2, 3, 4) if pick >> (i + 4) & 1 and kind is not ListKind.FAILED]
             checker.feed(now, fleet(*ids, state=state, kind=kind, up=now if pick % 5 == 0 else 0.0))
         elif what == "timer":
             checker.feed(now, TimerFired(pick % 2))
-        elif what == "restart" and restart is not None:  # what it held is the clients' to retry
+        elif what == "restart" and restart is not None:  # open requests are lost; their clients retry
             out.clear()
             for t in checker.tries.values():
                 t.closed = True
             checker.handle = restart()
             checker.feed(
-                now, fleet(*[i for i in checker.named if i not in checker.told], kind=ListKind.CACHED)
+                now,
+                fleet(
+                    *[i for i in checker.groups if i not in checker.unavailable_since], kind=ListKind.CACHED
+                ),
             )
     for _ in range(20):
         now += 1
@@ -287,44 +297,44 @@
 
 @given(STEPS, st.booleans())
 @hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
-def test_the_rules_hold_under_odd_legal_orders(steps: list, marks: bool) -> None:
+def test_the_rules_hold_in_random_event_orders(steps: list, marks: bool) -> None:
     s = settings(plans=PLANS, marks_retry=marks, counter=True)
-    play(Gateway(s, 3).handle, s, steps, lambda: Gateway(s, 4).handle)
+    run_steps(Gateway(s, 3).handle, s, steps, lambda: Gateway(s, 4).handle)
 
 
-class Broken(Gateway):
-    """A gateway with one deliberate fault, to show that the checker can fail."""
+class FaultyGateway(Gateway):
+    """A gateway with a deliberate fault."""
 
     fault = ""
 
-    def again(self, now, call) -> None:
-        if self.fault == "silent":
+    def retry_or_finish(self, now, call) -> None:
+        if self.fault == "no_answer":
             return
         if self.fault == "resend":
             backend = next(iter(self.backends.values()))
             return self.send(now, call, backend)
-        super().again(now, call)
+        super().retry_or_finish(now, call)
 
-    def fleet(self, now, event) -> None:
-        if self.fault == "deaf" and self.backends:
+    def on_fleet_update(self, now, event) -> None:
+        if self.fault == "no_updates" and self.backends:
             return
-        super().fleet(now, event)
+        super().on_fleet_update(now, event)
 
 
-@pytest.mark.parametrize("fault", ["silent", "resend", "deaf"])
-def test_the_checker_fails_on_a_broken_gateway(fault: str) -> None:
-    g = Broken(settings(), 3)
+@pytest.mark.parametrize("fault", ["no_answer", "resend", "no_updates"])
+def test_the_checker_detects_a_faulty_gateway(fault: str) -> None:
+    g = FaultyGateway(settings(), 3)
     g.fault = fault
     steps = [("ask", 1003, 0), ("end", 7 * 1, 5), ("fleet", 0 | 15 << 5, 1), ("ask", 0, 300), ("end", 7, 1)]
-    with pytest.raises(RuleBroken):
-        play(g.handle, settings(), steps)
+    with pytest.raises(RuleViolation):
+        run_steps(g.handle, settings(), steps)
 
 
-def test_the_checker_sees_a_passed_ceiling() -> None:
+def test_the_checker_detects_an_exceeded_ceiling() -> None:
     s = settings(plans=(Plan(1000, 1000, ceiling_rate=10, ceiling_burst=20),))
-    free = settings(plans=(Plan(1000, 1000),))
-    checker = Checker(Gateway(free, 1).handle, s)
+    unlimited = settings(plans=(Plan(1000, 1000),))
+    checker = Checker(Gateway(unlimited, 1).handle, s)
     checker.feed(START, fleet(*range(1, 60)))
-    with pytest.raises(RuleBroken, match="ceiling"):
+    with pytest.raises(RuleViolation, match="ceiling"):
         for n in range(30):
             checker.feed(START, request(n))
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""The limits on the decision module, and the README's example."""
+"""Restrictions on the source of the decision module, the README's example, and validation of settings."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 MODULE = (ROOT / "tamarindfold" / "choice.py").read_text().splitlines()
 
 
-def test_the_module_keeps_its_limits() -> None:
+def test_the_decision_module_has_short_lines_and_names_its_interface() -> None:
     assert max(map(len, MODULE)) <= 110
     assert "tamarindfold/interface.py" in MODULE[0]
 
 
-def test_the_module_has_no_clock_io_or_sets() -> None:
+def test_the_decision_module_has_no_clock_io_or_sets() -> None:
     text = "\n".join(MODULE)
     assert not re.search(r"^\s*(import|from) (time|os|sys|socket|threading|asyncio|datetime)\b", text, re.M)
     assert not re.search(r"\bset\(|\bopen\(|\bprint\(|\bglobal\b", text)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the adapter: round trips, the documented examples, malformed input."""
+"""The simulator's protocol and its adapter: documented examples, malformed input and a whole exchange."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "named"),
+    ("old", "new", "name"),
     [
         ("balancers=3", "balancers=x", "balancers"),
         ("balancers=3", "balancers=2.5", "balancers"),
@@ -121,8 +121,8 @@
         ("balancers=3", "oops", "line 1"),
     ],
 )
-def test_a_bad_value_is_named(old: str, new: str, named: str) -> None:
-    with pytest.raises(ValueError, match=named):
+def test_an_invalid_value_is_named(old: str, new: str, name: str) -> None:
+    with pytest.raises(ValueError, match=name):
         parse_settings(TEXT.replace(old, new))
 
 
@@ -166,12 +166,12 @@
 @pytest.mark.parametrize(
     "action", [Refuse(7, 20.0), Fail(7), Cancel(7, 1), Probe(1 << 16 | 2), Tell(2, b"x")]
 )
-def test_every_action_says_its_length(action) -> None:
+def test_every_action_record_states_its_length(action) -> None:
     data = wire.write_action(1, action)
     assert wire.RECORD.unpack_from(data)[1] == len(data) - wire.RECORD.size
 
 
-def test_a_whole_exchange() -> None:
+def test_the_adapter_answers_batches() -> None:
     done = run(batch() + batch(provision(), view(), accept()))
     assert done.returncode == 0 and not done.stderr
     assert done.stdout[:4] == bytes(4)
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "message"),
     [
         (b"\1\2\3", "batch header"),
         (batch(accept())[:-3], "batch: input ends"),
@@ -198,8 +198,8 @@
         (batch(provision(), record(1020, bytes([3, 0, 0, 0]) + bytes(9))), "WITHDRAWN"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, said: str) -> None:
+def test_malformed_input_ends_with_one_line_on_stderr(data: bytes, message: str) -> None:
     done = run(data)
     assert done.returncode == 2
     text = done.stderr.decode()
-    assert said in text and text.count("\n") == 1
+    assert message in text and text.count("\n") == 1
