--- a/benchmarks/prefixes.py
+++ b/benchmarks/prefixes.py
@@ -13,7 +13,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from tamarindfold.ds.prefixes import Prefixes
+from tamarindfold.ds.prefixes import PrefixTrie
 
 
 SIZES = (10, 1_000, 100_000)
@@ -25,7 +25,7 @@
     while len(networks) < count:
         length = random.choice((8, 12, 16, 20, 24, 24, 24, 28, 32))
         networks[IPv4Network((random.getrandbits(32) >> (32 - length) << (32 - length), length))] = length
-    trie: Prefixes[int] = Prefixes()
+    trie: PrefixTrie[int] = PrefixTrie()
     for network, length in networks.items():
         trie.add(str(network), length)
     plain = [(int(n.network_address) >> (32 - n.prefixlen), 32 - n.prefixlen, n.prefixlen) for n in networks]
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -94,7 +94,7 @@
     gevent.sleep(0.2)
     quiet, late[0] = late[0], 0.0
     background = Background(1.0, lambda *_, **__: None)
-    background.scheduler = Scheduler(0.5, most_saved_ms=5.0)
+    background.scheduler = Scheduler(0.5, max_saved_ms=5.0)
     job = background.scheduler.add(Job("snapshot", recorder.snapshot, 0.0, 0), precise_ms())
     began = time.perf_counter()
     background.start()
@@ -110,7 +110,7 @@
     return {
         "longest_pause_ms": round(late[0] * 1000, 2),
         "pause_without_ms": round(quiet * 1000, 2),
-        "longest_slice_ms": round(job.longest_ms, 2),
+        "longest_slice_ms": round(job.longest_slice_ms, 2),
         "snapshot_bytes": recorder.counts["bytes"],
         "write_ms": round(took * 1000, 1),
         "load_ms": round(loading * 1000, 1),
@@ -131,12 +131,12 @@
         for action in gateway.handle(now, arrived(number, customer)):
             if isinstance(action, Refuse):
                 back = now + action.retry_after_ms
-                recorder.refused(customer, 0, 3, back)
+                recorder.record_refusal(customer, 0, 3, back)
                 appointments += 1
                 found += back <= given_out.get(customer, 0.0)
                 given_out[customer] = max(given_out.get(customer, 0.0), back)
             elif isinstance(action, Send):
-                recorder.spent(customer, 0, 3, 1.0)
+                recorder.record_spent_units(customer, 0, 3, 1.0)
                 gateway.handle(now, AttemptEnded(number, 0, action.backend, Outcome.OK, 10.0, True))
         recorder.flush()
         if now - walked > 1_000:
--- a/fuzz/headers.py
+++ b/fuzz/headers.py
@@ -17,7 +17,7 @@
 from ipaddress import ip_address, ip_network
 from random import Random
 
-from tamarindfold.ds.prefixes import Prefixes, address
+from tamarindfold.ds.prefixes import PrefixTrie, parse_address
 from tamarindfold.forward.addresses import Trust
 from tamarindfold.forward.original import Names, original
 from tamarindfold.forward.reports import read
@@ -139,7 +139,7 @@
     """An address is one to us exactly when it is one to ipaddress, and is the same."""
     text = value(random).decode("latin-1")
     try:
-        ours: int | None = address(text)
+        ours: int | None = parse_address(text)
     except ValueError:
         ours = None
     try:
@@ -150,7 +150,7 @@
     except ValueError:
         bits = None
     if ours != bits:
-        raise Found(f"address({text!r}): {ours}, ipaddress: {bits}")
+        raise Found(f"parse_address({text!r}): {ours}, ipaddress: {bits}")
 
 
 def tries(random: Random) -> None:
@@ -159,7 +159,7 @@
         ip_network((random.getrandbits(32) >> (32 - n) << (32 - n), n))
         for n in random.choices(range(33), k=random.randint(0, 12))
     ]
-    trie: Prefixes[str] = Prefixes()
+    trie: PrefixTrie[str] = PrefixTrie()
     for network in networks:
         trie.add(str(network), str(network))
     inside = [int(n.network_address) | random.getrandbits(32) & int(n.hostmask) for n in networks]
--- a/tamarindfold/agreement/document.py
+++ b/tamarindfold/agreement/document.py
@@ -18,7 +18,7 @@
 from tamarindfold.config import derive
 from tamarindfold.config.model import (
     ClassConfig,
-    Count,
+    PositiveInt,
     CounterConfig,
     Customers,
     Fleet,
@@ -26,9 +26,9 @@
     Instance,
     InstanceConfig,
     Introspection,
-    Ms,
+    NonNegativeMs,
     OwnConfig,
-    Part,
+    Fraction,
     PlanConfig,
     Route,
     Safety,
@@ -48,8 +48,10 @@
     """Parameters of the agreement itself."""
 
     window_ms: Annotated[float, Meta(ge=200)] = 2_000  # longest time for which instances may disagree
-    unled_ms: Ms = 60_000  # an instance without a lease keeps its share for so long, then drops to the least
-    least_share: Part = 0.001  # of each summed limit, for an instance that was without a lease for longer
+    unled_ms: NonNegativeMs = (
+        60_000  # an instance without a lease keeps its share for so long, then drops to the least
+    )
+    least_share: Fraction = 0.001  # of each summed limit, for an instance that was without a lease for longer
     most_instances: Annotated[int, Meta(ge=1, le=1000)] = 350  # members and lost instances together
 
     @property
@@ -68,7 +70,7 @@
     customers: Customers = Customers()
     safety: Safety = Safety()
     counter: CounterConfig | None = None
-    max_attempts: Count = 3
+    max_attempts: PositiveInt = 3
     terms: Terms = Terms()
 
 
--- a/tamarindfold/agreement/driver.py
+++ b/tamarindfold/agreement/driver.py
@@ -24,7 +24,7 @@
 from tamarindfold.agreement.lease import EffectiveSettings, Lease, RenewReply
 from tamarindfold.agreement.state import encode
 from tamarindfold.ds.backoff import Backoff
-from tamarindfold.ds.durable import replace
+from tamarindfold.ds.durable import replace_file
 from tamarindfold.http1.client import send_request
 from tamarindfold.http1.responses import ResponseReader
 from tamarindfold.identity.wire import BadUpdate
@@ -84,7 +84,7 @@
 
     def write(self, state: bytes, left: bool) -> None:
         """Replace the saved state. Raises OSError if that fails."""
-        replace(self.path, [msgspec.msgpack.encode(SavedState(state, left))])
+        replace_file(self.path, [msgspec.msgpack.encode(SavedState(state, left))])
 
     def close(self) -> None:
         """Release the lock."""
--- a/tamarindfold/cli/fleet.py
+++ b/tamarindfold/cli/fleet.py
@@ -26,14 +26,14 @@
     import gevent
     import msgspec
 
-    from tamarindfold.supervisor.driver import FleetFile, Supervisor, sound
+    from tamarindfold.supervisor.driver import FleetFile, Supervisor, validate_fleet_file
 
-    found = load(file, FleetFile, sound)
+    found = load(file, FleetFile, validate_fleet_file)
     if seconds is not None:
         found = msgspec.structs.replace(found, up_ms=seconds * 1000)
     supervisor = Supervisor(found, lambda line: click.echo(line))
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, supervisor.halt.set)
+        gevent.signal_handler(number, supervisor.stop_requested.set)
     sys.exit(0 if supervisor.run() else 1)
 
 
@@ -41,9 +41,9 @@
 @FILE
 def check(file: Path) -> None:
     """Validate a fleet's file and print the order of its programs."""
-    from tamarindfold.supervisor.driver import FleetFile, policy, sound
+    from tamarindfold.supervisor.driver import FleetFile, build_policy, validate_fleet_file
 
-    made = policy(load(file, FleetFile, sound))
+    made = build_policy(load(file, FleetFile, validate_fleet_file))
     for name in made.order:
         after = ", ".join(made.states[name].spec.after)
         click.echo(f"{name}{f' after {after}' if after else ''}")
--- a/tamarindfold/cli/lifeline.py
+++ b/tamarindfold/cli/lifeline.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 from gevent.socket import wait_read
 
-from tamarindfold.supervisor.driver import LIFELINE
+from tamarindfold.supervisor.driver import SUPERVISOR_PIPE_ENV
 
 
 def until_stopped(*lines: str) -> None:
@@ -28,7 +28,7 @@
 
 def watch(stop: Event) -> None:
     """Set `stop` when the other end of the inherited pipe closes; nothing where there is none."""
-    text = os.environ.get(LIFELINE, "")
+    text = os.environ.get(SUPERVISOR_PIPE_ENV, "")
     if text.isdecimal():
         gevent.spawn(_until_closed, int(text), stop)
 
--- a/tamarindfold/config/__init__.py
+++ b/tamarindfold/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: YAML files read into validated objects, and what the module is told of them."""
+"""Configuration: YAML files read into validated objects, and the gateway settings derived from them."""
--- a/tamarindfold/config/derive.py
+++ b/tamarindfold/config/derive.py
@@ -1,4 +1,4 @@
-"""What the module and the ingress are told, worked out from a configuration; cross-checks of its parts."""
+"""Derives the decision module's settings from a configuration, and checks its sections for consistency."""
 
 from __future__ import annotations
 
@@ -12,26 +12,27 @@
 
 
 def backend_id(host: str, port: int) -> int:
-    """The module's number of a server: its address and port."""
+    """The numeric id of a backend: its IPv4 address and port."""
     return int(IPv4Address(host)) << 16 | port
 
 
 def backend_address(backend: int) -> tuple[str, int]:
-    """Address and port of a server's number."""
+    """The address and port of a backend id."""
     return str(IPv4Address(backend >> 16)), backend & 0xFFFF
 
 
-_PLAN_FIGURES = tuple(f.name for f in fields(Plan) if f.name not in ("name", "version"))
-NO_PLANS_YET = Plan(0, 0, name="none")  # until the registry's are known; no request is taken before that
+_PLAN_FIELDS = tuple(f.name for f in fields(Plan) if f.name not in ("name", "version"))
+# Used until the plans of the registry are known; no request is accepted before that.
+PLACEHOLDER_PLAN = Plan(0, 0, name="none")
 
 
-def plan(figures: Any, name: str, version: int = 0) -> Plan:
-    """The module's plan from what a configuration or the registry grants: figures by the module's names."""
-    return Plan(**{key: getattr(figures, key) for key in _PLAN_FIGURES}, name=name, version=version)
+def plan(source: Any, name: str, version: int = 0) -> Plan:
+    """A plan from an object with the same field names, such as a configuration section or registry record."""
+    return Plan(**{key: getattr(source, key) for key in _PLAN_FIELDS}, name=name, version=version)
 
 
 def settings(config: GatewayConfig) -> Settings:
-    """The module's settings for this gateway."""
+    """The decision module's settings for this gateway."""
     counter = config.counter
     return Settings(
         gateways=config.instance.gateways,
@@ -50,7 +51,7 @@
             )
             for c in config.classes
         ),
-        plans=tuple(plan(p, p.name) for p in config.plans) or (NO_PLANS_YET,),
+        plans=tuple(plan(p, p.name) for p in config.plans) or (PLACEHOLDER_PLAN,),
         max_attempts=config.upstream.max_attempts,
         start_capacity=config.safety.start_capacity,
         cold_ms=config.safety.cold_ms,
@@ -69,7 +70,7 @@
 
 
 def static_entries(config: GatewayConfig) -> list[BackendEntry]:
-    """The fixed list of servers."""
+    """The servers of the static list."""
     states = {"ready": BackendState.READY, "draining": BackendState.DRAINING}
     return [
         BackendEntry(
@@ -84,53 +85,53 @@
     ]
 
 
-def _unique(names: list[str], what: str) -> None:
+def _check_unique(names: list[str], key: str) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise ValueError(f"{what}: {name!r} is named twice")
+            raise ValueError(f"{key}: {name!r} is given twice")
 
 
-def _networks(texts: list[str], what: str) -> None:
+def _check_networks(texts: list[str], key: str) -> None:
     for i, text in enumerate(texts):
         try:
             ip_network(text)
         except ValueError as error:
-            raise ValueError(f"{what}[{i}]: {error}") from None
+            raise ValueError(f"{key}[{i}]: {error}") from None
 
 
 def fronts(config: GatewayConfig) -> list[str]:
-    """The fronts that are served."""
+    """The fronts to serve: those configured, else `proxy`, and `forward-auth` if it has a section."""
     if config.fronts is not None:
         return list(config.fronts)
     return ["proxy", "forward-auth"] if config.forward is not None else ["proxy"]
 
 
 def check(config: GatewayConfig) -> None:
-    """ValueError where parts of the configuration contradict each other."""
+    """ValueError if parts of the configuration contradict each other."""
     if config.instance.index >= config.instance.gateways:
         raise ValueError(
             f"instance.index: {config.instance.index} is not below instance.gateways "
             f"({config.instance.gateways})"
         )
     classes, plans = [c.name for c in config.classes], [p.name for p in config.plans]
-    _unique(classes, "classes")
-    _unique(plans, "plans")
-    _unique([f"{r.method} {r.path}" for r in config.routes], "routes")
+    _check_unique(classes, "classes")
+    _check_unique(plans, "plans")
+    _check_unique([f"{r.method} {r.path}" for r in config.routes], "routes")
     for i, route in enumerate(config.routes):
         if route.cls not in classes:
             raise ValueError(f"routes[{i}].class: {route.cls!r} is not one of {', '.join(classes)}")
     for i, cls in enumerate(config.classes):
         if cls.effect == "keyed" and not cls.window_ms:
-            raise ValueError(f"classes[{i}].window_ms: a keyed class needs the time for which keys are kept")
+            raise ValueError(f"classes[{i}].window_ms: effect keyed needs the time for which keys are kept")
         if cls.deadline_ms <= config.limits.answer_margin_ms:
-            raise ValueError(f"classes[{i}].deadline_ms: not above limits.answer_margin_ms")
+            raise ValueError(f"classes[{i}].deadline_ms: must be above limits.answer_margin_ms")
     customers = config.customers
     if customers.default_plan and customers.default_plan not in plans:
         raise ValueError(f"customers.default_plan: {customers.default_plan!r} is not in {', '.join(plans)}")
     if customers.default_units > customers.most_units:
-        raise ValueError("customers.default_units: above customers.most_units")
+        raise ValueError("customers.default_units: must not be above customers.most_units")
     if customers.width > config.instance.gateways:
-        raise ValueError("customers.width: above instance.gateways")
+        raise ValueError("customers.width: must not be above instance.gateways")
     if bool(config.fleet.static) == bool(config.fleet.feed):
         raise ValueError("fleet: give either a static list or a feed")
     if config.fleet.feed:
@@ -141,19 +142,19 @@
     if config.identity is not None:
         split_address(config.identity.registry, "identity.registry")
         if config.plans:
-            raise ValueError("plans: the registry has them; give either plans or identity")
+            raise ValueError("plans: the registry defines them; give either plans or identity")
     elif not config.plans:
-        raise ValueError("plans: at least one is needed without identity")
-    serves = fronts(config)
-    if len(set(serves)) < len(serves):
-        raise ValueError("fronts: one is named twice")
-    if ("forward-auth" in serves) != (config.forward is not None):
-        raise ValueError("fronts: forward-auth goes with a section `forward`, and only with it")
+        raise ValueError("plans: at least one is required without identity")
+    front_names = fronts(config)
+    if len(set(front_names)) < len(front_names):
+        raise ValueError("fronts: one is given twice")
+    if ("forward-auth" in front_names) != (config.forward is not None):
+        raise ValueError("fronts: forward-auth and a section `forward` require each other")
     if config.forward is not None:
-        _networks(config.forward.trusted, "forward.trusted")
+        _check_networks(config.forward.trusted, "forward.trusted")
         if config.forward.most_deciding > config.forward.most_permits:
-            raise ValueError("forward.most_deciding: above forward.most_permits")
-    _networks([n.network for n in config.networks], "networks")
-    _unique([n.network for n in config.networks], "networks")
+            raise ValueError("forward.most_deciding: must not be above forward.most_permits")
+    _check_networks([n.network for n in config.networks], "networks")
+    _check_unique([n.network for n in config.networks], "networks")
     static_entries(config)
     settings(config)
--- a/tamarindfold/config/load.py
+++ b/tamarindfold/config/load.py
@@ -1,4 +1,4 @@
-"""Reading a YAML file into a validated object; every fault is one line with file, path and reason."""
+"""Reads YAML files into validated objects; every error is one line with file, key path and reason."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class ConfigError(ValueError):
-    """A file that cannot be used: the file, the place in it and the reason, in one line."""
+    """An unusable configuration: one line with the file, the key path and the reason."""
 
 
 class _UniqueKeys(yaml.SafeLoader):
-    """The safe loader, but a key given twice is an error: the first would be lost without a word."""
+    """The safe loader, except that a duplicate key is an error; PyYAML would silently use the last value."""
 
     def construct_mapping(self, node: Any, deep: bool = False) -> dict[Any, Any]:
-        seen: list[Any] = []
+        keys: list[Any] = []
         for key_node, _ in node.value:
             key = self.construct_object(key_node, deep=True)
-            if key in seen:
+            if key in keys:
                 raise yaml.MarkedYAMLError(
                     problem=f"key {key!r} is given twice", problem_mark=key_node.start_mark
                 )
-            seen.append(key)
+            keys.append(key)
         return super().construct_mapping(node, deep)
 
 
 def read_yaml(path: Path) -> Any:
-    """The plain values in a YAML file; ConfigError where it is missing or malformed."""
+    """The plain values of a YAML file; ConfigError if it is missing or malformed."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -47,22 +47,22 @@
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from error
 
 
-def convert(data: Any, kind: type[T], where: str) -> T:
-    """Plain values as an object of this kind; ConfigError names the place."""
+def convert(data: Any, target: type[T], source: str) -> T:
+    """Convert plain values to the target type; ConfigError names the source and the key path."""
     try:
-        return msgspec.convert(data, kind)
+        return msgspec.convert(data, target)
     except msgspec.ValidationError as error:
-        reason, _, place = str(error).partition(" - at `$")
-        place = place.rstrip("`").lstrip(".")
-        raise ConfigError(f"{where}: {place + ': ' if place else ''}{reason}") from error
+        reason, _, key_path = str(error).partition(" - at `$")
+        key_path = key_path.rstrip("`").lstrip(".")
+        raise ConfigError(f"{source}: {key_path + ': ' if key_path else ''}{reason}") from error
 
 
-def load(path: Path, kind: type[T], check: Callable[[T], None] | None = None) -> T:
-    """Read and validate a file; check may raise ValueError("place: reason") for what types cannot say."""
-    made = convert(read_yaml(path), kind, str(path))
+def load(path: Path, target: type[T], check: Callable[[T], None] | None = None) -> T:
+    """Read and validate a file; `check` raises ValueError("key: reason") for what types cannot express."""
+    config = convert(read_yaml(path), target, str(path))
     if check is not None:
         try:
-            check(made)
+            check(config)
         except ValueError as error:
             raise ConfigError(f"{path}: {error}") from error
-    return made
+    return config
--- a/tamarindfold/config/model.py
+++ b/tamarindfold/config/model.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration, as its YAML file holds it. Times are in milliseconds, sizes in bytes."""
+"""The schema of the gateway's YAML configuration. Times are in milliseconds, sizes in bytes."""
 
 from __future__ import annotations
 
@@ -7,109 +7,113 @@
 
 from msgspec import Meta, Struct, field
 
-Ms = Annotated[float, Meta(ge=0)]
-MsAboveNought = Annotated[float, Meta(gt=0)]
-Count = Annotated[int, Meta(ge=1)]
-Number = Annotated[float, Meta(ge=0)]
+NonNegativeMs = Annotated[float, Meta(ge=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
 Port = Annotated[int, Meta(ge=0, le=65535)]
-Part = Annotated[float, Meta(gt=0, le=1)]
-Word = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
+Fraction = Annotated[float, Meta(gt=0, le=1)]
+Identifier = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 
 
 class Section(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """One section of the file; an unknown key is an error."""
+    """A section of a configuration file; unknown keys are errors."""
 
 
 class Instance(Section, frozen=True):
-    """Which of the fleet's gateways this is."""
+    """Identity of this gateway within the fleet."""
 
     index: Annotated[int, Meta(ge=0)] = 0
-    gateways: Count = 1
+    gateways: PositiveInt = 1
     seed: int = 1
     zone: Annotated[int, Meta(ge=0)] = 0
-    state_dir: str = ""  # where the last list, the registry's word and snapshots are kept; empty: nowhere
-    stall_ms: MsAboveNought = 300  # the loop did not turn for so long: this instance stood still
+    state_dir: str = ""  # folder of the saved server list, registry copy and snapshots; empty: keep none
+    stall_ms: PositiveFloat = (
+        300  # the process counts as stalled if its event loop did not turn for this long
+    )
 
 
 class Listen(Section, frozen=True):
-    """Where clients come in; port 0 lets the system choose."""
+    """The address for clients; with port 0 the system chooses a port."""
 
     host: str = "127.0.0.1"
     port: Port = 0
-    backlog: Count = 1024
+    backlog: PositiveInt = 1024
 
 
 class Limits(Section, frozen=True):
-    """Bounds for safety; each has a counter in the log line `ingress.counts`."""
-
-    connections: Count = 20_000
-    open_requests: Count = 5_000
-    header_bytes: Count = 16_384
-    header_count: Count = 100
-    header_timeout_ms: MsAboveNought = 5_000
-    body_bytes: Count = 262_144
-    body_timeout_ms: MsAboveNought = 10_000
-    ahead_bytes: Count = 16_384  # of further requests, kept while an answer is awaited; more stays unread
-    idle_timeout_ms: MsAboveNought = 75_000
-    write_timeout_ms: MsAboveNought = 5_000
-    answer_bytes: Count = 1_048_576
-    answer_margin_ms: Ms = 30  # the final answer is owed this long before the client's deadline
-    stop_ms: MsAboveNought = 15_000  # a stopping gateway waits no longer than this for what it holds
+    """Resource limits; each has a counter in the log line `ingress.counts`."""
+
+    connections: PositiveInt = 20_000
+    open_requests: PositiveInt = 5_000
+    header_bytes: PositiveInt = 16_384
+    header_count: PositiveInt = 100
+    header_timeout_ms: PositiveFloat = 5_000
+    body_bytes: PositiveInt = 262_144
+    body_timeout_ms: PositiveFloat = 10_000
+    # pipelined requests kept while a response is pending; beyond it the socket is not read
+    ahead_bytes: PositiveInt = 16_384
+    idle_timeout_ms: PositiveFloat = 75_000
+    write_timeout_ms: PositiveFloat = 5_000
+    answer_bytes: PositiveInt = 1_048_576
+    answer_margin_ms: NonNegativeMs = 30  # the final response is due this long before the client's deadline
+    # upper bound on the time that a stopping gateway waits for requests in flight
+    stop_ms: PositiveFloat = 15_000
 
 
 class ClassConfig(Section, frozen=True):
-    """A kind of request; see `RequestClass` for the meaning of each figure."""
+    """A class of requests; see `interface.RequestClass`."""
 
-    name: Word
-    aim_ms: MsAboveNought
-    deadline_ms: MsAboveNought
-    worth: Number
+    name: Identifier
+    aim_ms: PositiveFloat
+    deadline_ms: PositiveFloat
+    worth: NonNegativeFloat
     effect: Literal["safe", "keyed", "unsafe"]
     group: Literal["all", "zone", "cell"] = "all"
-    window_ms: Ms = 0
-    late_worth: Number = 0
-    # when the introspection server gives no answer: refuse, or take its last word a while longer
+    window_ms: NonNegativeMs = 0
+    late_worth: NonNegativeFloat = 0
+    # when the introspection server does not answer: refuse, or use an expired answer for up to `stale_ms`
     unchecked: Literal["refuse", "stale"] = "refuse"
 
 
 class Route(Section, frozen=True):
-    """Requests of this method whose path is this one, or below it where it ends in a slash."""
+    """Requests with this method and exactly this path, or any path below it if it ends in a slash."""
 
     method: Annotated[str, Meta(pattern=r"^[A-Z]{1,16}$")]
     path: Annotated[str, Meta(pattern=r"^/")]
-    cls: Word = field(name="class")
-    scope: str = ""  # scopes needed, space-separated (RFC 6749 3.3)
+    cls: Identifier = field(name="class")
+    scope: str = ""  # required scopes, space-separated (RFC 6749 section 3.3)
     led_only: bool = False  # not served by an instance that cannot know whether its settings are in force
 
 
 class PlanConfig(Section, frozen=True):
-    """What a customer may use over all gateways, in units and units a second; 0: no such limit."""
+    """What a customer may use over all gateways, in units and units per second; 0: unlimited."""
 
-    name: Word
-    rate: Number
-    burst: Number
+    name: Identifier
+    rate: NonNegativeFloat
+    burst: NonNegativeFloat
     open_limit: Annotated[int, Meta(ge=0)] = 0
-    price: Number = 1
-    over_worth: Number = 0
-    over_cost: Number = 0
-    ceiling_rate: Number = 0
-    ceiling_burst: Number = 0
-    ceiling_slack: Number = 0
+    price: NonNegativeFloat = 1
+    over_worth: NonNegativeFloat = 0
+    over_cost: NonNegativeFloat = 0
+    ceiling_rate: NonNegativeFloat = 0
+    ceiling_burst: NonNegativeFloat = 0
+    ceiling_slack: NonNegativeFloat = 0
 
 
 class Customers(Section, frozen=True):
-    """Where a token's claims name customer and plan, and through how many gateways one comes."""
+    """The token claims that name customer and plan, and how many gateways serve one customer."""
 
     customer_claim: str = "sub"
     plan_claim: str = "plan"
-    default_plan: str = ""  # for tokens that name none; empty: such tokens are forbidden
-    width: Annotated[int, Meta(ge=0)] = 0  # 0: all gateways
-    most_units: Count = 8
-    default_units: Count = 1
+    default_plan: str = ""  # for tokens without the plan claim; empty: they are forbidden
+    width: Annotated[int, Meta(ge=0)] = 0  # gateways that serve one customer; 0: all
+    most_units: PositiveInt = 8
+    default_units: PositiveInt = 1
 
 
 class Introspection(Section, frozen=True):
-    """The authorization server's introspection endpoint (RFC 7662) and what may be kept of its answers."""
+    """The authorization server's introspection endpoint (RFC 7662) and the caching of its answers."""
 
     url: Annotated[str, Meta(pattern=r"^http://")]
     client_id: str
@@ -117,23 +121,24 @@
     client_secret_env: str = ""
     audience: str = ""
     issuer: str = ""
-    timeout_ms: MsAboveNought = 1_000
-    connections: Count = 8
-    most_in_flight: Count = 8
-    most_waiting: Count = 2_000
-    cache_entries: Count = 20_000
-    negative_entries: Count = 5_000
-    max_age_ms: Ms = 30_000
-    negative_age_ms: Ms = 5_000
-    stale_ms: Ms = 0  # how long beyond its age an answer may serve classes with `unchecked: stale`
-    leeway_ms: Ms = 0  # clock difference allowed for at nbf; never for exp
-    trip_after: Count = 5  # look-ups that fail one after another before all are held back
-    trip_ms: MsAboveNought = 500
-    trip_most_ms: MsAboveNought = 8_000
-    answer_bytes: Count = 65_536
+    timeout_ms: PositiveFloat = 1_000
+    connections: PositiveInt = 8
+    most_in_flight: PositiveInt = 8
+    most_waiting: PositiveInt = 2_000
+    cache_entries: PositiveInt = 20_000
+    negative_entries: PositiveInt = 5_000
+    max_age_ms: NonNegativeMs = 30_000
+    negative_age_ms: NonNegativeMs = 5_000
+    # how long after expiry a cached answer may serve classes with `unchecked: stale`
+    stale_ms: NonNegativeMs = 0
+    leeway_ms: NonNegativeMs = 0  # tolerated clock difference when checking nbf; never applied to exp
+    trip_after: PositiveInt = 5  # consecutive failed look-ups after which the circuit breaker opens
+    trip_ms: PositiveFloat = 500
+    trip_most_ms: PositiveFloat = 8_000
+    answer_bytes: PositiveInt = 65_536
 
     def secret(self) -> str:
-        """The client secret; ValueError where the environment does not hold it."""
+        """The client secret; ValueError if the environment variable is not set."""
         if self.client_secret_env:
             if self.client_secret_env not in os.environ:
                 raise ValueError(f"introspection.client_secret_env: {self.client_secret_env} is not set")
@@ -142,79 +147,83 @@
 
 
 class IdentityConfig(Section, frozen=True):
-    """The registry of keys, customers and plans; its word goes before a token's claims."""
+    """The registry of keys, customers and plans; its data takes precedence over a token's claims."""
 
     registry: str
-    public_key: str  # file
-    pepper: str  # file
+    public_key: str  # path of a file
+    pepper: str  # path of a file
     key_header: Annotated[str, Meta(pattern=r"^[a-z][a-z0-9-]{0,63}$")] = "x-api-key"
-    skew_ms: Ms = 1_000  # clocks' difference allowed for at the ends of a credential's time
-    wait_ms: MsAboveNought = 20_000  # of a long poll
-    reconnect_ms: MsAboveNought = 250
+    # tolerated clock difference at the start and end of a credential's validity
+    skew_ms: NonNegativeMs = 1_000
+    wait_ms: PositiveFloat = 20_000  # of a long poll
+    reconnect_ms: PositiveFloat = 250
 
 
 HeaderName = Annotated[str, Meta(pattern=r"^[A-Za-z][A-Za-z0-9-]{0,63}$")]
 
 
 class ForwardNames(Section, frozen=True):
-    """The headers in which the proxies tell the original request: of each kind, any of the names."""
+    """The headers in which proxies describe the original request; any name of a kind may be used."""
 
     method: tuple[HeaderName, ...] = ("x-forwarded-method", "x-original-method")
     uri: tuple[HeaderName, ...] = ("x-forwarded-uri", "x-original-uri", "x-original-url")
     host: tuple[HeaderName, ...] = ("x-forwarded-host", "x-original-host")
-    request: HeaderName = "x-request-id"  # the proxy's own name for a request; clients must not reach it
+    # the proxy's own id of a request; clients must not be able to set it
+    request: HeaderName = "x-request-id"
 
 
 class Forward(Section, frozen=True):
-    """Forward authentication: where proxies ask, and whose word is believed."""
+    """Forward authentication: the address for proxies, and which proxies are trusted."""
 
-    trusted: Annotated[list[str], Meta(min_length=1)]  # networks (CIDR) of the proxies
+    trusted: Annotated[list[str], Meta(min_length=1)]  # networks of the proxies (CIDR)
     host: str = "127.0.0.1"
     port: Port = 0
-    backlog: Count = 128  # connections that wait to be accepted; beyond them the system turns away
-    connections: Count = 2_000
-    form: Literal["report", "decide"] = "report"  # decide: the proxy chooses the server and need not report
-    refusals: Literal["as_is", "as_403"] = "as_is"  # as_403: for proxies that pass only 401 and 403 on
+    backlog: PositiveInt = 128  # connections waiting to be accepted; the system rejects further ones
+    connections: PositiveInt = 2_000
+    # decide: the proxy selects the backend itself and need not report the outcome
+    form: Literal["report", "decide"] = "report"
+    refusals: Literal["as_is", "as_403"] = "as_is"  # as_403: for proxies that pass on only 401 and 403
     names: ForwardNames = ForwardNames()
     prefix: Annotated[str, Meta(pattern=r"^(/[A-Za-z0-9._-]+)*$")] = ""
     hosts: list[str] = []  # original hosts that are served; empty: all
-    decide_ms: MsAboveNought = 250  # a decision takes no longer, or is a refusal
-    body_ms: MsAboveNought = 25  # a sub-request's body that was announced and does not come is not waited for
-    most_deciding: Count = 1_000
-    most_permits: Count = 10_000
-    lapse_ms: Ms = 1_000  # a permit not reported so long after the client's deadline lapses
-    hold_ms: Ms = 0  # form decide: how long a permit counts as work under way (docs/forward-auth.md)
-    most_repeats: Annotated[int, Meta(ge=0)] = 2  # sub-requests under one name that are answered alike
-    remember_ms: MsAboveNought = 60_000  # what became of a name, for reports that come late or twice
-    most_remembered: Count = 50_000
+    decide_ms: PositiveFloat = 250  # a decision that would take longer is a refusal
+    body_ms: PositiveFloat = 25  # wait no longer than this for the announced body of a sub-request
+    most_deciding: PositiveInt = 1_000
+    most_permits: PositiveInt = 10_000
+    # a permit lapses if it is not reported within this time after the client's deadline
+    lapse_ms: NonNegativeMs = 1_000
+    hold_ms: NonNegativeMs = 0  # form decide: how long a permit counts as work in progress
+    most_repeats: Annotated[int, Meta(ge=0)] = 2  # sub-requests with the same id that get the same answer
+    remember_ms: PositiveFloat = 60_000  # how long the outcome of an id is kept, for late or repeated reports
+    most_remembered: PositiveInt = 50_000
 
 
 class Network(Section, frozen=True):
-    """What is so of clients from a network; the longest network that holds an address counts alone."""
+    """Rules for clients from a network; only the longest matching network applies."""
 
     network: str
     refuse: bool = False
-    zone: Annotated[int, Meta(ge=0)] | None = None  # handed on as tamarind-zone
+    zone: Annotated[int, Meta(ge=0)] | None = None  # passed on as the header tamarind-zone
 
 
 class Admin(Section, frozen=True):
-    """Health and counts, served by a thread of their own: no load on the fronts hides them."""
+    """Health checks and counts, served by a separate thread, unaffected by load on the fronts."""
 
     host: str = "127.0.0.1"
     port: Port = 0
-    connections: Count = 8
-    stale_ms: MsAboveNought = 2_000  # the loop did not turn for so long: not healthy
+    connections: PositiveInt = 8
+    stale_ms: PositiveFloat = 2_000  # unhealthy if the event loop did not turn for this long
 
 
 class CounterConfig(Section, frozen=True):
-    """The shared counter: servers of the Redis protocol, names spread over them."""
+    """The shared counter: servers with the Redis protocol, across which names are partitioned."""
 
     parts: Annotated[list[str], Meta(min_length=1)]
-    timeout_ms: MsAboveNought = 30
-    price: Number = 0
-    most_pending: Count = 1_000
-    reconnect_ms: MsAboveNought = 200
-    prefix: Word = "tf"
+    timeout_ms: PositiveFloat = 30
+    price: NonNegativeFloat = 0
+    most_pending: PositiveInt = 1_000
+    reconnect_ms: PositiveFloat = 200
+    prefix: Identifier = "tf"
 
 
 class Server(Section, frozen=True):
@@ -224,59 +233,60 @@
     zone: Annotated[int, Meta(ge=0)] = 0
     cell: Annotated[int, Meta(ge=0)] = 0
     kind: Annotated[int, Meta(ge=0)] = 0
-    size: Number = 1
+    size: NonNegativeFloat = 1
     state: Literal["ready", "draining"] = "ready"
 
 
 class Fleet(Section, frozen=True):
-    """The servers: a fixed list, or the address of a feed that pushes it."""
+    """The backends: a static list, or the address of a feed that pushes updates."""
 
     static: list[Server] = []
     feed: str = ""
-    reconnect_ms: MsAboveNought = 500
-    first_list_ms: Ms = 1_500  # at start, with a saved list at hand: so long the feed's first line is awaited
+    reconnect_ms: PositiveFloat = 500
+    # at start, with a saved list: how long to wait for the first message of the feed
+    first_list_ms: NonNegativeMs = 1_500
 
 
 class Safety(Section, frozen=True):
-    """What the rules on cold servers and drains are held to."""
+    """Parameters of the rules for cold and draining servers."""
 
-    start_capacity: Part = 0.2
-    cold_ms: Ms = 15_000
-    fall_multiple: MsAboveNought = 2
-    overload_ms: MsAboveNought = 1_000
-    drain_grace_ms: Ms = 250
-    answer_grace_ms: Ms = 100
+    start_capacity: Fraction = 0.2
+    cold_ms: NonNegativeMs = 15_000
+    fall_multiple: PositiveFloat = 2
+    overload_ms: PositiveFloat = 1_000
+    drain_grace_ms: NonNegativeMs = 250
+    answer_grace_ms: NonNegativeMs = 100
 
 
 class Upstream(Section, frozen=True):
-    """Connections to the servers."""
+    """Connections to the backends."""
 
-    max_attempts: Count = 3
-    connect_timeout_ms: MsAboveNought = 250
-    idle_ms: Ms = 20_000
+    max_attempts: PositiveInt = 3
+    connect_timeout_ms: PositiveFloat = 250
+    idle_ms: NonNegativeMs = 20_000
     idle_per_server: Annotated[int, Meta(ge=0)] = 32
-    connections_per_server: Count = 512
+    connections_per_server: PositiveInt = 512
     source_address: str = ""
 
 
 class RecoveryConfig(Section, frozen=True):
-    """What is kept across a restart, in instance.state_dir; without one nothing is."""
+    """What is kept across a restart, in instance.state_dir; nothing is kept without it."""
 
-    every_ms: MsAboveNought = 1_000  # after the end of a snapshot the next is begun
-    max_age_ms: Ms = 600_000  # an older snapshot is not taken
-    ahead_ms: Ms = 2_000  # nor one from further in the future than this
-    background_part: Part = 0.05  # of the time, for all background work
+    every_ms: PositiveFloat = 1_000  # from the end of a snapshot to the start of the next
+    max_age_ms: NonNegativeMs = 600_000  # an older snapshot is rejected
+    ahead_ms: NonNegativeMs = 2_000  # a snapshot dated further into the future than this is rejected
+    background_part: Fraction = 0.05  # fraction of the time that all background work may use
 
 
 class Log(Section, frozen=True):
     """Structured log lines on standard error."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
-    counts_every_ms: MsAboveNought = 10_000
+    counts_every_ms: PositiveFloat = 10_000
 
 
 class OwnConfig(Section, frozen=True, kw_only=True):
-    """What is an instance's own. fronts: not given, proxy, and forward-auth if there is a section of it."""
+    """Settings of one instance. Default of `fronts`: proxy, and forward-auth if it has a section."""
 
     introspection: Introspection
     identity: IdentityConfig | None = None
@@ -293,7 +303,7 @@
 
 
 class GatewayConfig(OwnConfig, frozen=True, kw_only=True):
-    """The whole file of a gateway whose settings are its own."""
+    """The configuration file of a gateway that has all settings in its own file."""
 
     classes: Annotated[list[ClassConfig], Meta(min_length=1)]
     routes: Annotated[list[Route], Meta(min_length=1)]
@@ -305,15 +315,15 @@
 
 
 class AgreementConfig(Section, frozen=True):
-    """Where the agreed settings are kept, and who this instance is among the others."""
+    """The keepers that store the agreed settings, and the identity of this instance among the others."""
 
     keepers: Annotated[list[str], Meta(min_length=1, max_length=9)]
-    public_key: str  # file
-    name: Word
-    join_ms: MsAboveNought = 10_000  # a start waits so long for a place in the roster
+    public_key: str  # path of a file
+    name: Identifier
+    join_ms: PositiveFloat = 10_000  # how long a starting instance waits for a place in the roster
 
 
 class InstanceConfig(OwnConfig, frozen=True, kw_only=True):
-    """The file of an instance whose settings are agreed: the rest of them is in agreement.document."""
+    """The file of an instance with agreed settings; see agreement.document for the shared ones."""
 
     agreement: AgreementConfig
--- a/tamarindfold/counter/driver.py
+++ b/tamarindfold/counter/driver.py
@@ -79,7 +79,7 @@
                     self.report(answer)
                 if self.pipeline.corrupted:
                     raise ValueError("counter: a reply is neither a finite number nor a known error")
-            self.link.backoff.well()
+            self.link.backoff.reset()
 
     @staticmethod
     def _next_reply(reader: Any) -> Any:
--- a/tamarindfold/ds/__init__.py
+++ b/tamarindfold/ds/__init__.py
@@ -1,1 +1,1 @@
-"""Data structures made for the job; each is measured against the plain one in benchmarks/."""
+"""General data structures; each is compared with a simpler alternative in benchmarks/."""
--- a/tamarindfold/ds/backoff.py
+++ b/tamarindfold/ds/backoff.py
@@ -1,20 +1,20 @@
-"""How long to wait before the next try to reach what was lost."""
+"""Exponential backoff for reconnects and retries."""
 
 from __future__ import annotations
 
 
 class Backoff:
-    """At once after a first failure, then twice as long each time, up to a bound; times in seconds."""
+    """No delay after the first failure; then the delay doubles with each failure, up to a bound."""
 
-    def __init__(self, least_s: float, most_s: float) -> None:
-        self.least_s, self.most_s = least_s, max(least_s, most_s)
-        self.next_s = 0.0
+    def __init__(self, min_s: float, max_s: float) -> None:
+        self.min_s, self.max_s = min_s, max(min_s, max_s)
+        self.pending_s = 0.0
 
-    def failed(self) -> float:
-        """The pause after one more failure."""
-        pause, self.next_s = self.next_s, min(self.most_s, max(self.least_s, self.next_s * 2))
-        return pause
+    def next_delay_s(self) -> float:
+        """Record a failure and return the delay before the next attempt."""
+        delay, self.pending_s = self.pending_s, min(self.max_s, max(self.min_s, self.pending_s * 2))
+        return delay
 
-    def well(self) -> None:
-        """It was reached: the next failure is a first one."""
-        self.next_s = 0.0
+    def reset(self) -> None:
+        """Record a success: the next failure is treated as the first one."""
+        self.pending_s = 0.0
--- a/tamarindfold/ds/durable.py
+++ b/tamarindfold/ds/durable.py
@@ -1,7 +1,8 @@
-"""Files that a crash leaves whole: framed and checksummed records, and replacement in one step.
+"""Crash-safe files: length-prefixed, checksummed frames, and atomic replacement of a whole file.
 
-A frame is its length and the CRC-32 of its data, each 4 bytes little-endian, then the data. A file of frames
-is good up to the last whole one: what a killed process was writing is found by its length or its checksum.
+A frame is the length and the CRC-32 of its data, each 4 bytes little-endian, followed by the data. A file of
+frames is valid up to its last complete frame: a frame that was being written when the process was killed is
+detected by its length or its checksum.
 """
 
 from __future__ import annotations
@@ -11,73 +12,73 @@
 from pathlib import Path
 from zlib import crc32
 
-HEAD_BYTES = 8
+FRAME_HEADER_BYTES = 8
 
 
-def frame(data: bytes) -> bytes:
-    """Data as a frame."""
+def encode_frame(data: bytes) -> bytes:
+    """Wrap data in a frame."""
     return len(data).to_bytes(4, "little") + crc32(data).to_bytes(4, "little") + data
 
 
-def frames(data: bytes, most_bytes: int = 1 << 30) -> Iterator[tuple[int, bytes | None]]:
-    """(offset, data) of each whole frame in order; at last (offset, None) where what follows is none."""
-    at = 0
-    while at < len(data):
-        length = int.from_bytes(data[at : at + 4], "little")
-        body = data[at + HEAD_BYTES : at + HEAD_BYTES + length]
-        whole = len(data) >= at + HEAD_BYTES and length <= most_bytes and len(body) == length
-        if not whole or crc32(body) != int.from_bytes(data[at + 4 : at + 8], "little"):
-            yield at, None
+def decode_frames(data: bytes, max_bytes: int = 1 << 30) -> Iterator[tuple[int, bytes | None]]:
+    """Yield (offset, data) of each valid frame in order, then (offset, None) if invalid bytes follow."""
+    offset = 0
+    while offset < len(data):
+        length = int.from_bytes(data[offset : offset + 4], "little")
+        body = data[offset + FRAME_HEADER_BYTES : offset + FRAME_HEADER_BYTES + length]
+        complete = len(data) >= offset + FRAME_HEADER_BYTES and length <= max_bytes and len(body) == length
+        if not complete or crc32(body) != int.from_bytes(data[offset + 4 : offset + 8], "little"):
+            yield offset, None
             return
-        yield at, body
-        at += HEAD_BYTES + length
+        yield offset, body
+        offset += FRAME_HEADER_BYTES + length
 
 
-class Replacement:
-    """A file written beside its target, which it replaces at once or not at all."""
+class FileReplacement:
+    """A temporary file beside its target, which replaces the target atomically on commit."""
 
     def __init__(self, target: Path) -> None:
-        """OSError where nothing can be written there."""
-        self.target, self.beside = target, target.with_suffix(target.suffix + ".new")
-        self.file = open(self.beside, "wb", buffering=0)  # noqa: SIM115 - closed by done or drop
+        """OSError if the temporary file cannot be created."""
+        self.target, self.temporary = target, target.with_suffix(target.suffix + ".new")
+        self.file = open(self.temporary, "wb", buffering=0)  # noqa: SIM115 - closed by commit or discard
         self.size = 0
 
     def write(self, data: bytes) -> None:
-        """Some more of it; OSError where the disk is full."""
+        """Append data; OSError if it cannot be written, for example on a full disk."""
         view = memoryview(data)
         while view:
             view = view[self.file.write(view) :]
         self.size += len(data)
 
     def sync(self) -> None:
-        """Bring what was written to the disk; may take long, so callers do it off their loop."""
+        """Flush the data to disk. This may take long; event-loop callers run it in another thread."""
         os.fsync(self.file.fileno())
 
-    def done(self) -> None:
-        """Take the target's place."""
+    def commit(self) -> None:
+        """Replace the target and sync the directory."""
         self.file.close()
-        os.replace(self.beside, self.target)
-        folder = os.open(self.target.parent, os.O_RDONLY)
+        os.replace(self.temporary, self.target)
+        directory = os.open(self.target.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
-    def drop(self) -> None:
-        """Give up: the target stays as it was."""
+    def discard(self) -> None:
+        """Remove the temporary file; the target is left unchanged."""
         self.file.close()
-        self.beside.unlink(missing_ok=True)
+        self.temporary.unlink(missing_ok=True)
 
 
-def replace(target: Path, parts: Iterable[bytes]) -> int:
-    """Write a whole file at once or not at all; its size. OSError where it can't be."""
-    made = Replacement(target)
+def replace_file(target: Path, parts: Iterable[bytes]) -> int:
+    """Replace a file atomically and return its size; OSError if that fails and the target is unchanged."""
+    replacement = FileReplacement(target)
     try:
         for part in parts:
-            made.write(part)
-        made.sync()
+            replacement.write(part)
+        replacement.sync()
     except BaseException:
-        made.drop()
+        replacement.discard()
         raise
-    made.done()
-    return made.size
+    replacement.commit()
+    return replacement.size
--- a/tamarindfold/ds/prefixes.py
+++ b/tamarindfold/ds/prefixes.py
@@ -1,7 +1,7 @@
-"""Longest-prefix match over IP networks: a path-compressed binary trie, one for each family.
+"""Longest-prefix match over IP networks: a path-compressed binary trie over 128-bit addresses.
 
-IPv4 networks are kept as IPv6-mapped ones (::ffff:0:0/96), so that a mapped address finds them without a
-second look.
+IPv4 networks are stored as IPv4-mapped IPv6 ones (::ffff:0:0/96), so that a mapped address matches them with
+a single lookup.
 """
 
 from __future__ import annotations
@@ -12,35 +12,37 @@
 
 V = TypeVar("V")
 BITS = 128
-MAPPED = 0xFFFF << 32
+IPV4_MAPPED = 0xFFFF << 32
 
 
 class _Node(Generic[V]):
     __slots__ = ("bits", "length", "one", "value", "zero")
 
     def __init__(self, bits: int, length: int) -> None:
-        self.bits, self.length = bits, length  # the first `length` bits of the address, from the left
+        self.bits, self.length = (
+            bits,
+            length,
+        )  # the prefix is the first `length` bits of `bits`, from the left
         self.value: V | None = None
         self.zero: _Node[V] | None = None
         self.one: _Node[V] | None = None
 
 
-def address(text: str) -> int:
-    """An IPv4 or IPv6 address as 128 bits; ValueError where it is neither."""
+def parse_address(text: str) -> int:
+    """An IPv4 or IPv6 address as 128 bits; ValueError if it is neither."""
     try:
         if ":" in text:
             return int.from_bytes(inet_pton(AF_INET6, text), "big")
-        return MAPPED | int.from_bytes(inet_pton(AF_INET, text), "big")
+        return IPV4_MAPPED | int.from_bytes(inet_pton(AF_INET, text), "big")
     except (OSError, UnicodeEncodeError):
-        raise ValueError(f"{text[:50]!r} is no IP address") from None
+        raise ValueError(f"{text[:50]!r} is not an IP address") from None
 
 
-def _common(a: int, b: int, most: int) -> int:
-    """How many leading bits, most at the most, are the same."""
-    return min(most, BITS - (a ^ b).bit_length())
+def _common_prefix_length(a: int, b: int, max_length: int) -> int:
+    return min(max_length, BITS - (a ^ b).bit_length())
 
 
-class Prefixes(Generic[V]):
+class PrefixTrie(Generic[V]):
     """Values by network."""
 
     def __init__(self) -> None:
@@ -48,36 +50,38 @@
         self.count = 0
 
     def add(self, network: str, value: V) -> None:
-        """Set a network's value; ValueError where it is none, or has host bits."""
+        """Set the value of a network; ValueError if the text is not a network or has host bits set."""
         parsed = ip_network(network)
         shift = 0 if parsed.version == 6 else BITS - 32
-        bits = int(parsed.network_address) | (0 if parsed.version == 6 else MAPPED)
+        bits = int(parsed.network_address) | (0 if parsed.version == 6 else IPV4_MAPPED)
         length = parsed.prefixlen + shift
         node = self.root
         while node.length < length:
-            side = bits >> (BITS - 1 - node.length) & 1
-            child = node.one if side else node.zero
+            bit = bits >> (BITS - 1 - node.length) & 1
+            child = node.one if bit else node.zero
             if child is None:
                 child = _Node(bits, length)
-                self._hang(node, side, child)
-            elif (same := _common(bits, child.bits, min(length, child.length))) < child.length:
-                middle: _Node[V] = _Node(bits, same)  # the two part before the child ends
-                self._hang(node, side, middle)
-                self._hang(middle, child.bits >> (BITS - 1 - same) & 1, child)
+                self._set_child(node, bit, child)
+            elif (
+                common := _common_prefix_length(bits, child.bits, min(length, child.length))
+            ) < child.length:
+                middle: _Node[V] = _Node(bits, common)  # split the edge where the two prefixes diverge
+                self._set_child(node, bit, middle)
+                self._set_child(middle, child.bits >> (BITS - 1 - common) & 1, child)
                 child = middle
             node = child
         self.count += node.value is None
         node.value = value
 
     @staticmethod
-    def _hang(node: _Node[V], side: int, child: _Node[V]) -> None:
-        if side:
+    def _set_child(node: _Node[V], bit: int, child: _Node[V]) -> None:
+        if bit:
             node.one = child
         else:
             node.zero = child
 
     def find(self, bits: int) -> V | None:
-        """The value of the longest network that holds an address (see `address`)."""
+        """The value of the longest network that contains an address (see `parse_address`), or None."""
         best, node = self.root.value, self.root
         while True:
             child = node.one if node.length < BITS and bits >> (BITS - 1 - node.length) & 1 else node.zero
--- a/tamarindfold/ds/wheel.py
+++ b/tamarindfold/ds/wheel.py
@@ -1,7 +1,7 @@
-"""A hierarchical timing wheel: many timers that are nearly all called off before they are due.
+"""A hierarchical timing wheel for many timers, nearly all of which are cancelled before they expire.
 
-After Varghese and Lauck, "Hashed and hierarchical timing wheels" (1987), scheme 7. Setting and calling off
-are one dictionary operation each; no timer fires early, and none later than one slot.
+After Varghese and Lauck, "Hashed and hierarchical timing wheels" (1987), scheme 7. Scheduling and cancelling
+are one dictionary operation each; no timer fires early, and none more than one slot late.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class Timer:
-    """One timer; `call` is for whoever advances the wheel."""
+    """One timer; the caller of `TimerWheel.advance` invokes `callback`."""
 
-    __slots__ = ("call", "home", "tick")
+    __slots__ = ("callback", "slot", "tick")
 
-    def __init__(self, tick: int, call: Callable[[], None]) -> None:
-        self.tick, self.call = tick, call
-        self.home: dict[Timer, None] | None = None
+    def __init__(self, tick: int, callback: Callable[[], None]) -> None:
+        self.tick, self.callback = tick, callback
+        self.slot: dict[Timer, None] | None = None  # None once fired or cancelled
 
 
 class TimerWheel:
-    """Timers by slots of slot_ms, SIZE slots a level, each level SIZE times as coarse as the one below."""
+    """Timers in slots of slot_ms: SIZE slots per level, each level SIZE times as coarse as the one below."""
 
     def __init__(self, now_ms: float, slot_ms: float = 4.0) -> None:
         self.slot_ms = slot_ms
@@ -34,24 +34,24 @@
         self.levels: list[list[dict[Timer, None]]] = [[{} for _ in range(SIZE)] for _ in range(LEVELS)]
         self.count = 0
 
-    def schedule(self, due_ms: float, call: Callable[[], None]) -> Timer:
-        """A timer for the first slot that ends at or after due_ms; the past is due at the next advance."""
-        timer = Timer(max(self.tick + 1, ceil(due_ms / self.slot_ms)), call)
-        self._place(timer)
+    def schedule(self, due_ms: float, callback: Callable[[], None]) -> Timer:
+        """Add a timer in the first slot that ends at or after due_ms, at the earliest the next slot."""
+        timer = Timer(max(self.tick + 1, ceil(due_ms / self.slot_ms)), callback)
+        self._insert(timer)
         self.count += 1
         return timer
 
     def cancel(self, timer: Timer) -> None:
-        """Call a timer off; one that fired or was called off stays so."""
-        if timer.home is not None:
-            del timer.home[timer]
-            timer.home = None
+        """Cancel a timer; no effect if it has fired or was cancelled."""
+        if timer.slot is not None:
+            del timer.slot[timer]
+            timer.slot = None
             self.count -= 1
 
     def advance(self, now_ms: float) -> list[Timer]:
-        """Move on to now; the timers that are due, the earlier slot first."""
+        """Advance to now and return the expired timers, earlier slots first."""
         target = int(now_ms // self.slot_ms)
-        due: list[Timer] = []
+        expired: list[Timer] = []
         while self.tick < target:
             if not self.count:
                 self.tick = target
@@ -64,25 +64,25 @@
             slot = self.levels[0][self.tick & MASK]
             if slot:
                 for timer in slot:
-                    timer.home = None
-                due += slot
+                    timer.slot = None
+                expired += slot
                 self.count -= len(slot)
                 slot.clear()
-        return due
+        return expired
 
-    def _place(self, timer: Timer) -> None:
-        ahead, level = timer.tick - self.tick, 0
-        while ahead >= SIZE and level < LEVELS - 1:
-            ahead >>= BITS
+    def _insert(self, timer: Timer) -> None:
+        distance, level = timer.tick - self.tick, 0
+        while distance >= SIZE and level < LEVELS - 1:
+            distance >>= BITS
             level += 1
-        # beyond the last level a timer goes round with it until it comes within reach
-        home = self.levels[level][(timer.tick >> BITS * level) & MASK]
-        home[timer] = None
-        timer.home = home
+        # A timer beyond the range of the last level is inserted again on each turn until it is in range.
+        slot = self.levels[level][(timer.tick >> BITS * level) & MASK]
+        slot[timer] = None
+        timer.slot = slot
 
     def _cascade(self, level: int) -> None:
         slot = self.levels[level][(self.tick >> BITS * level) & MASK]
         timers = list(slot)
         slot.clear()
         for timer in timers:
-            self._place(timer)
+            self._insert(timer)
--- a/tamarindfold/forward/addresses.py
+++ b/tamarindfold/forward/addresses.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Sequence
 
-from tamarindfold.ds.prefixes import Prefixes, address
+from tamarindfold.ds.prefixes import PrefixTrie, parse_address
 from tamarindfold.http1.requests import Headers, Rejected
 
 MOST_HOPS = 32
@@ -17,13 +17,13 @@
 
     def __init__(self, networks: Sequence[str]) -> None:
         """ValueError names a network that is none."""
-        self.networks: Prefixes[bool] = Prefixes()
+        self.networks: PrefixTrie[bool] = PrefixTrie()
         for network in networks:
             self.networks.add(network, True)
 
     def __contains__(self, text: str) -> bool:
         try:
-            return self.networks.find(address(text)) is not None
+            return self.networks.find(parse_address(text)) is not None
         except ValueError:
             return False
 
@@ -81,6 +81,6 @@
 
 def _checked(text: str) -> None:
     try:
-        address(text)
+        parse_address(text)
     except ValueError as error:
         raise Rejected(400, str(error)) from None
--- a/tamarindfold/identity/saved_copy.py
+++ b/tamarindfold/identity/saved_copy.py
@@ -11,7 +11,7 @@
 
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
 
-from tamarindfold.ds.durable import replace
+from tamarindfold.ds.durable import replace_file
 from tamarindfold.identity.follower import Follower, Rejected
 from tamarindfold.identity.wire import BadUpdate, decode_update
 
@@ -47,7 +47,7 @@
     """Replace the file atomically by a snapshot, or append a delta to it and sync it to disk."""
     data = len(envelope).to_bytes(LENGTH_BYTES, "little") + envelope
     if is_snapshot:
-        replace(path, [data])
+        replace_file(path, [data])
         return
     with open(path, "ab") as file:
         file.write(data)
--- a/tamarindfold/identity/tables.py
+++ b/tamarindfold/identity/tables.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tamarindfold.ds.keytable import KeyTable, build, column
+from tamarindfold.ds.keytable import KeyTable, build_columns, column_view
 from tamarindfold.identity.model import CredentialRow, CustomerRow, PlanRow
 from tamarindfold.identity.state import RegistryState
 
@@ -112,7 +112,7 @@
 def build_snapshot(state: RegistryState, chain: int) -> Snapshot:
     """Build a snapshot of the registry's state."""
     rows, customers = list(state.credentials.values()), state.customers_by_number
-    names, index = build(row.credential_id for row in rows)
+    names, index = build_columns(row.credential_id for row in rows)
     columns = Columns(
         names,
         index,
@@ -146,16 +146,19 @@
             self.keys = KeyTable(columns.names, columns.index)
             self.digests = columns.digests
             self.customers, self.next_customers = (
-                column(columns.customers, "I"),
-                column(columns.next_customers, "I"),
+                column_view(columns.customers, "I"),
+                column_view(columns.next_customers, "I"),
             )
-            self.moved_at, self.from_ms = column(columns.moved_at, "d"), column(columns.from_ms, "d")
-            self.ends_ms, self.flags = column(columns.ends_ms, "d"), columns.flags
+            self.moved_at, self.from_ms = (
+                column_view(columns.moved_at, "d"),
+                column_view(columns.from_ms, "d"),
+            )
+            self.ends_ms, self.flags = column_view(columns.ends_ms, "d"), columns.flags
             self.plan, self.next_plan = (
-                column(columns.customer_plans, "I"),
-                column(columns.customer_next, "I"),
+                column_view(columns.customer_plans, "I"),
+                column_view(columns.customer_next, "I"),
             )
-            self.change_at = column(columns.customer_change, "d")
+            self.change_at = column_view(columns.customer_change, "d")
         except ValueError as error:
             raise BadTables(f"columns: {error}") from None
         rows, customers = len(self.keys), len(self.plan)
--- a/tamarindfold/ingress/background.py
+++ b/tamarindfold/ingress/background.py
@@ -51,9 +51,9 @@
         if self._greenlet is not None:
             self._greenlet.kill()
         for job in self.scheduler.jobs:
-            if isinstance(job.work, Generator):
-                job.work.close()
-            job.work = None
+            if isinstance(job.iterator, Generator):
+                job.iterator.close()
+            job.iterator = None
 
     def _run(self) -> None:
         while True:
@@ -74,8 +74,8 @@
                 "runs": job.runs,
                 "slices": job.slices,
                 "failed": job.failed,
-                "longest_ms": round(job.longest_ms, 3),
-                "took_ms": round(job.took_ms, 1),
+                "longest_ms": round(job.longest_slice_ms, 3),
+                "took_ms": round(job.total_ms, 1),
             }
             for job in self.scheduler.jobs
         }
--- a/tamarindfold/ingress/core.py
+++ b/tamarindfold/ingress/core.py
@@ -92,10 +92,10 @@
 class UsageRecorder(Protocol):
     """Persists quota use and announced retry times across restarts."""
 
-    def spent(self, customer: int, plan: int, width: int, units: float) -> None:
+    def record_spent_units(self, customer: int, plan: int, width: int, units: float) -> None:
         """Record units drawn from a customer's ceiling."""
 
-    def refused(self, customer: int, plan: int, width: int, back_at_ms: float) -> None:
+    def record_refusal(self, customer: int, plan: int, width: int, back_at_ms: float) -> None:
         """Record a refusal and the time at which the client may retry."""
 
     def flush(self) -> None:
@@ -251,7 +251,7 @@
     def record_unpermitted_use(self, customer: int, plan: int, units: float, width: int) -> None:
         """Count the units of a request that a proxy let through without a permit."""
         if self.recorder is not None and self.gateway.settings.plans[plan].ceiling_rate:
-            self.recorder.spent(customer, plan, width, units)
+            self.recorder.record_spent_units(customer, plan, width, units)
         self.post(ExternalUse(customer, plan, units, width))
 
     def post(self, event: Event) -> None:
@@ -364,13 +364,15 @@
                     and not attempt
                     and self.gateway.settings.plans[exchange.plan].ceiling_rate
                 ):
-                    self.recorder.spent(exchange.customer, exchange.plan, exchange.width, exchange.units)
+                    self.recorder.record_spent_units(
+                        exchange.customer, exchange.plan, exchange.width, exchange.units
+                    )
                 assert self.sender is not None
                 self.sender.start(exchange, attempt, self.fleet.get(backend), backend, timeout_ms)
             case Refuse(request, retry_after_ms, why):
                 if (exchange := self.open_exchanges.get(request)) is not None:
                     if self.recorder is not None:
-                        self.recorder.refused(
+                        self.recorder.record_refusal(
                             exchange.customer,
                             exchange.plan,
                             exchange.width,
--- a/tamarindfold/ingress/timers.py
+++ b/tamarindfold/ingress/timers.py
@@ -49,4 +49,4 @@
                 gevent.sleep(pause)  # after a stall: let pending data be read before time-outs fire
             self.last_turn_ms = self.clock()
             for timer in self.wheel.advance(self.clock()):
-                timer.call()
+                timer.callback()
--- a/tamarindfold/keeper/config.py
+++ b/tamarindfold/keeper/config.py
@@ -7,7 +7,7 @@
 from msgspec import Meta
 
 from tamarindfold.config.addresses import split_address
-from tamarindfold.config.model import Count, MsAboveNought, Port, Section
+from tamarindfold.config.model import PositiveInt, PositiveFloat, Port, Section
 
 
 class KeeperConfig(Section, frozen=True):
@@ -22,11 +22,11 @@
     port: Port = 0  # 0: the one under which the others know this keeper
     seed: int = 1
     source_address: str = ""
-    connections: Count = 2_000
-    most_queued: Count = 256  # messages to one other keeper; the oldest go first, and are said again
-    log_bytes: Count = 4 << 20  # a longer log on disk is replaced by what it comes to
-    most_wait_ms: MsAboveNought = 30_000
-    offer_ms: MsAboveNought = 5_000  # so long an operator waits for what came of a proposal
+    connections: PositiveInt = 2_000
+    most_queued: PositiveInt = 256  # messages to one other keeper; the oldest go first, and are said again
+    log_bytes: PositiveInt = 4 << 20  # a longer log on disk is replaced by what it comes to
+    most_wait_ms: PositiveFloat = 30_000
+    offer_ms: PositiveFloat = 5_000  # so long an operator waits for what came of a proposal
     log_level: Literal["debug", "info", "warning", "error"] = "info"
 
 
--- a/tamarindfold/keeper/disk.py
+++ b/tamarindfold/keeper/disk.py
@@ -10,7 +10,7 @@
 from tamarindfold.agreement.consensus import DurableState, Save
 from tamarindfold.agreement.log import Entry
 from tamarindfold.agreement.state import State, decode, encode
-from tamarindfold.ds.durable import frame, frames, replace
+from tamarindfold.ds.durable import decode_frames, encode_frame, replace_file
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Save)
@@ -37,7 +37,7 @@
         disk, good = DurableState(entries=[]), 0
         state: State | None = None
         entries: list[Entry] = []
-        for offset, body in frames(data):
+        for offset, body in decode_frames(data):
             good = offset
             if body is None:
                 break
@@ -49,7 +49,7 @@
                 break
             entries += save.chosen
             disk.promised, disk.vote = save.promised, save.vote
-            good = offset + len(frame(body))
+            good = offset + len(encode_frame(body))
         disk.state, disk.entries = state, entries
         self.descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o644)
         os.ftruncate(self.descriptor, good)
@@ -62,7 +62,7 @@
             if self.size > self.most_bytes:
                 self._begin_anew(save, state)
             else:
-                data = frame(_encoder.encode(save))
+                data = encode_frame(_encoder.encode(save))
                 view = memoryview(data)
                 while view:
                     view = view[os.write(self.descriptor, view) :]
@@ -74,7 +74,7 @@
 
     def _begin_anew(self, save: Save, state: State) -> None:
         whole = Save(save.promised, save.vote, (), encode(state))
-        self.size = replace(self.path, [frame(_encoder.encode(whole))])
+        self.size = replace_file(self.path, [encode_frame(_encoder.encode(whole))])
         os.close(self.descriptor)
         self.descriptor = os.open(self.path, os.O_RDWR | os.O_APPEND)
         self.replaced += 1
--- a/tamarindfold/keeper/server.py
+++ b/tamarindfold/keeper/server.py
@@ -120,7 +120,7 @@
             status, _ = send_request(sock, reader, "POST", "/v1/keeper", host, body)
             if status != 204:
                 raise ValueError(f"keeper {self.number} answered {status}")
-            self.link.backoff.well()
+            self.link.backoff.reset()
 
 
 class KeeperServer:
--- a/tamarindfold/links/link.py
+++ b/tamarindfold/links/link.py
@@ -54,7 +54,7 @@
             except (OSError, ValueError) as error:
                 reason = error
             lost(reason)
-            self._address_changed.wait(self.backoff.failed())
+            self._address_changed.wait(self.backoff.next_delay_s())
 
     def _read_once(self, read: Callable[[socket.socket], None]) -> None:
         address = self.address
--- a/tamarindfold/links/subscription.py
+++ b/tamarindfold/links/subscription.py
@@ -41,7 +41,7 @@
     def message_received(self) -> None:
         """Record a valid message; this resets the reconnect backoff."""
         self.first_message.set()
-        self.link.backoff.well()
+        self.link.backoff.reset()
 
     def wait_for_first_message(
         self, timeout_ms: float, log: Callable[..., None], stop: Event | None = None, **details: object
--- a/tamarindfold/membership/driver.py
+++ b/tamarindfold/membership/driver.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from tamarindfold.ds.backoff import Backoff
-from tamarindfold.ds.durable import replace
+from tamarindfold.ds.durable import replace_file
 from tamarindfold.interface import FleetUpdate, ListKind
 from tamarindfold.links.link import Link
 from tamarindfold.links.subscription import Subscription
@@ -76,6 +76,6 @@
         if self.saved_at is None:
             return
         try:
-            replace(self.saved_at, [self.servers.encode()])
+            replace_file(self.saved_at, [self.servers.encode()])
         except OSError as error:
             self.log("fleet.list_not_saved", path=str(self.saved_at), reason=str(error))
--- a/tamarindfold/recovery/__init__.py
+++ b/tamarindfold/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance keeps across a restart: promises given, ceilings spent, work learnt (docs/recovery.md)."""
+"""State kept across a restart: announced retry times, units spent from ceilings, learnt work per class."""
--- a/tamarindfold/recovery/driver.py
+++ b/tamarindfold/recovery/driver.py
@@ -1,7 +1,8 @@
-"""Writes an instance's snapshots and journals, and reads them at its start.
+"""Writes an instance's snapshots and journals, and reads them when it starts.
 
-A journal entry is written, not synced, before what it tells leaves the process: a killed process loses none
-of it. A machine that loses power may lose the last of it; appointments may then overlap for as long as that.
+A journal entry is written, but not synced, before the decision that it records leaves the process: if the
+process is killed, no entry is lost. A power failure may lose the latest entries; new retry times may then
+overlap with those in the lost entries.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 import gevent
 
 from tamarindfold.choice import Gateway
-from tamarindfold.ds.durable import Replacement, replace
+from tamarindfold.ds.durable import FileReplacement, replace_file
 from tamarindfold.interface import CustomerSnapshot, StateRestored
-from tamarindfold.recovery import format as files
-from tamarindfold.recovery.rules import keeps, refusal, restore
+from tamarindfold.recovery import format as snapshot_format
+from tamarindfold.recovery.rules import is_worth_saving, merge_state, rejection_reason
 
-SYNC_LOOK_MS = 5.0  # how often the disk is looked at
-ROWS = 100  # customers in a slice of a snapshot
+SYNC_POLL_MS = 5.0
+CUSTOMERS_PER_SLICE = 100
 
 
 class Recorder:
-    """One instance's memory on disk."""
+    """Persists the recovery state of one instance."""
 
     def __init__(
         self,
@@ -34,25 +35,25 @@
         ahead_ms: float,
         clock: Callable[[], float],
         log: Callable[..., None],
-        agreed: bool = False,
+        managed: bool = False,
     ) -> None:
-        """agreed: how many gateways there are is not this instance's own, and may differ after a restart."""
-        self.agreed = agreed
+        """managed: the settings are agreed on, so the number of gateways may differ after a restart."""
+        self.managed = managed
         self.folder, self.instance, self.gateway = folder, instance, gateway
         self.max_age_ms, self.ahead_ms, self.clock, self.log = max_age_ms, ahead_ms, clock, log
         self.path = folder / f"recovery-{instance}.snap"
         self.generation = 0
-        self.journal = -1  # file descriptor; -1: nothing can be promised to last
-        self.batch = files.Entries()
-        self.tracked: dict[int, None] = {}  # customers with something to remember
+        self.journal = -1  # file descriptor; -1: no journal can be written
+        self.pending = snapshot_format.JournalEntries()
+        self.tracked: dict[int, None] = {}  # customers with state to save
         self.counts = dict.fromkeys(
             ("snapshots", "failed", "entries", "journal_lost", "restored", "bytes"), 0
         )
 
-    # ---- at the start
+    # ---- start
 
-    def _configuration(self) -> bytes:
-        return files.configuration(self.gateway.settings, not self.agreed)
+    def _configuration_digest(self) -> bytes:
+        return snapshot_format.configuration_digest(self.gateway.settings, not self.managed)
 
     def _journals(self) -> list[tuple[int, Path]]:
         found = []
@@ -63,28 +64,28 @@
         return sorted(found)
 
     def load(self) -> StateRestored | None:
-        """What an earlier life left, if it can be used; then a new journal. Never raises for a bad file."""
+        """Open a new journal; the state of an earlier incarnation, or None. Never raises for a bad file."""
         now, journals = self.clock(), self._journals()
         restored: StateRestored | None = None
         self.generation = journals[-1][0] if journals else 0
         if self.path.exists():
             try:
-                header, rows = files.read(self.path.read_bytes())
-                why = refusal(
-                    header, now, self._configuration(), self.instance, self.max_age_ms, self.ahead_ms
+                header, rows = snapshot_format.decode_snapshot(self.path.read_bytes())
+                reason = rejection_reason(
+                    header, now, self._configuration_digest(), self.instance, self.max_age_ms, self.ahead_ms
                 )
-            except (OSError, files.BadSnapshot) as error:
-                why = str(error)
-            if why:
-                self.log("recovery.snapshot_refused", path=str(self.path), reason=why)
+            except (OSError, snapshot_format.InvalidSnapshot) as error:
+                reason = str(error)
+            if reason:
+                self.log("recovery.snapshot_refused", path=str(self.path), reason=reason)
                 self._set_aside([path for _, path in journals])
             else:
                 self.generation = max(self.generation, header.generation)
-                later = [path.read_bytes() for number, path in journals if number >= header.generation]
-                entries, torn = files.read_journals(later)
+                journal_data = [path.read_bytes() for number, path in journals if number >= header.generation]
+                entries, truncated = snapshot_format.decode_journals(journal_data)
                 plans = [plan.name for plan in self.gateway.settings.plans]
-                restored = restore(header, rows, entries, plans, now)
-                if self.agreed:  # as many as there are now; what is held beyond that part is let go
+                restored = merge_state(header, rows, entries, plans, now)
+                if self.managed:  # use the current number of gateways; state above the new share is dropped
                     for row in restored.customers:
                         row.width = self.gateway.settings.gateways
                 self.tracked = dict.fromkeys(row.customer for row in restored.customers)
@@ -92,24 +93,24 @@
                 self.log(
                     "recovery.restored",
                     customers=len(restored.customers),
-                    promised=len(entries.promised),
+                    promised=len(entries.refusals),
                     age_ms=round(now - header.taken_at_ms),
                     last=header.last,
-                    journal_torn=torn,
+                    journal_torn=truncated,
                 )
         self._new_journal()
         if restored is None and self.journal >= 0:
-            try:  # a journal is worth nothing without the snapshot that it goes on from, be that empty
-                replace(self.path, [self._header(False), files.end(0)])
+            try:  # a journal can only be read with the snapshot that it follows, so write an empty one
+                replace_file(self.path, [self._encode_header(False), snapshot_format.encode_end(0)])
             except OSError as error:
                 self.log("recovery.snapshot_failed", reason=str(error))
         return restored
 
-    def _header(self, last: bool) -> bytes:
+    def _encode_header(self, last: bool) -> bytes:
         settings = self.gateway.settings
-        return files.header(
-            files.Header(
-                self._configuration(),
+        return snapshot_format.encode_header(
+            snapshot_format.Header(
+                self._configuration_digest(),
                 self.instance,
                 self.generation,
                 self.clock(),
@@ -120,7 +121,7 @@
         )
 
     def _set_aside(self, journals: list[Path]) -> None:
-        """What was refused once must not come back later with newer journals on top."""
+        """Keep a rejected snapshot from being loaded later, then combined with newer journals."""
         try:
             os.replace(self.path, self.path.with_suffix(".refused"))
             for path in journals:
@@ -128,7 +129,7 @@
         except OSError as error:
             self.log("recovery.not_set_aside", path=str(self.path), reason=str(error))
 
-    # ---- the journal
+    # ---- journal
 
     def _new_journal(self) -> None:
         self.generation += 1
@@ -145,7 +146,7 @@
             self._journal_lost(error)
 
     def _journal_lost(self, error: OSError) -> None:
-        """A snapshot without all that came after it would give a spent ceiling back: better none."""
+        """Remove all files: a snapshot without its complete journal would return spent units to a ceiling."""
         self.counts["journal_lost"] += 1
         self.log("recovery.journal_lost", reason=str(error))
         if self.journal >= 0:
@@ -154,30 +155,30 @@
         for path in (self.path, *(path for _, path in self._journals())):
             try:
                 path.unlink(missing_ok=True)
-            except OSError as second:
-                self.log("recovery.not_removed", path=str(path), reason=str(second))
+            except OSError as unlink_error:
+                self.log("recovery.not_removed", path=str(path), reason=str(unlink_error))
 
-    def refused(self, customer: int, plan: int, width: int, back_at_ms: float) -> None:
-        """A client was told when to come back."""
-        self.batch.promised.append((customer, plan, width, back_at_ms))
+    def record_refusal(self, customer: int, plan: int, width: int, back_at_ms: float) -> None:
+        """Record the time at which a refused client was told to retry."""
+        self.pending.refusals.append((customer, plan, width, back_at_ms))
         self.tracked[customer] = None
 
-    def spent(self, customer: int, plan: int, width: int, units: float) -> None:
-        """A ceiling was drawn from."""
-        self.batch.spent.append((customer, plan, width, units))
+    def record_spent_units(self, customer: int, plan: int, width: int, units: float) -> None:
+        """Record units spent from a customer's ceiling."""
+        self.pending.spent.append((customer, plan, width, units))
         self.tracked[customer] = None
 
     def flush(self) -> None:
-        """Write what was noted; called before any of it leaves the process."""
-        batch = self.batch
-        if not batch.promised and not batch.spent:
+        """Write the recorded entries; called before any of the decisions leaves the process."""
+        entries = self.pending
+        if not entries.refusals and not entries.spent:
             return
-        self.batch = files.Entries()
+        self.pending = snapshot_format.JournalEntries()
         if self.journal < 0:
             return
-        batch.at_ms = self.clock()
-        data = files.journal(batch)
-        self.counts["entries"] += len(batch.promised) + len(batch.spent)
+        entries.at_ms = self.clock()
+        data = snapshot_format.encode_journal(entries)
+        self.counts["entries"] += len(entries.refusals) + len(entries.spent)
         try:
             while data:
                 data = data[os.write(self.journal, data) :]
@@ -187,58 +188,59 @@
     # ---- snapshots
 
     def snapshot(self, last: bool = False) -> Iterator[float | None]:
-        """Write a snapshot, a slice for each step; the old one stands until this is whole."""
+        """Write a snapshot, one slice per step; the old one is replaced once the new one is complete."""
         settings, gateway = self.gateway.settings, self.gateway
         old_journals = self._journals()
         self._new_journal()
         if self.journal < 0:
             return
-        walking, self.tracked = self.tracked, {}
-        made, syncing = None, None
+        remaining, self.tracked = self.tracked, {}
+        replacement, sync = None, None
         try:
-            made = Replacement(self.path)
-            made.write(self._header(last))
+            replacement = FileReplacement(self.path)
+            replacement.write(self._encode_header(last))
             count = 0
-            while walking:
+            while remaining:
                 rows: list[CustomerSnapshot] = []
-                for _ in range(min(ROWS, len(walking))):
-                    number, _ = walking.popitem()
-                    row = gateway.customer_snapshot(number)
-                    if row is not None and keeps(row, settings, self.clock()):
+                for _ in range(min(CUSTOMERS_PER_SLICE, len(remaining))):
+                    customer, _ = remaining.popitem()
+                    row = gateway.customer_snapshot(customer)
+                    if row is not None and is_worth_saving(row, settings, self.clock()):
                         rows.append(row)
-                        self.tracked[number] = None
+                        self.tracked[customer] = None
                 if rows:
-                    made.write(files.customers(rows))
+                    replacement.write(snapshot_format.encode_customers(rows))
                     count += len(rows)
                 yield None
-            made.write(files.end(count))
-            syncing = gevent.get_hub().threadpool.spawn(self._put, made)  # the disk may take its time
-            while not syncing.ready():
-                yield SYNC_LOOK_MS
-            syncing.get()
+            replacement.write(snapshot_format.encode_end(count))
+            # fsync may block for long, so it runs in a thread
+            sync = gevent.get_hub().threadpool.spawn(self._sync_and_commit, replacement)
+            while not sync.ready():
+                yield SYNC_POLL_MS
+            sync.get()
         except BaseException as error:
-            self.tracked |= walking
-            if syncing is not None and not syncing.ready():
-                syncing.wait()  # else it could put the file of the next snapshot in place, half written
-            elif made is not None:
-                made.drop()
+            self.tracked |= remaining
+            if sync is not None and not sync.ready():
+                sync.wait()  # the thread could otherwise commit the unfinished file of the next snapshot
+            elif replacement is not None:
+                replacement.discard()
             self.counts["failed"] += 1
             if not isinstance(error, OSError):
                 raise
             self.log("recovery.snapshot_failed", reason=str(error))
             return
         self.counts["snapshots"] += 1
-        self.counts["bytes"] = made.size
+        self.counts["bytes"] = replacement.size
         for _, path in old_journals:
             path.unlink(missing_ok=True)
 
     @staticmethod
-    def _put(made: Replacement) -> None:
-        made.sync()
-        made.done()
+    def _sync_and_commit(replacement: FileReplacement) -> None:
+        replacement.sync()
+        replacement.commit()
 
     def close(self) -> None:
-        """The last snapshot: nothing is promised after it."""
+        """Write the last snapshot; nothing may be recorded after it."""
         self.flush()
         for pause_ms in self.snapshot(last=True):
             gevent.sleep((pause_ms or 0.0) / 1000)
--- a/tamarindfold/recovery/format.py
+++ b/tamarindfold/recovery/format.py
@@ -1,4 +1,4 @@
-"""Snapshots and journals as bytes and back: protobuf records in checksummed frames. No I/O."""
+"""Encodes and decodes snapshots and journals: protobuf records in checksummed frames. No I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 from google.protobuf.message import DecodeError
 
-from tamarindfold.ds.durable import frame, frames
+from tamarindfold.ds.durable import decode_frames, encode_frame
 from tamarindfold.interface import CustomerSnapshot, Settings
 from tamarindfold.recovery.proto import snapshot_pb2 as pb
 
 VERSION = 1
 
 
-class BadSnapshot(ValueError):
-    """Bytes that are no whole snapshot: torn, altered, or of another format."""
+class InvalidSnapshot(ValueError):
+    """Bytes that are not a complete snapshot: truncated, corrupted, or of an unsupported format."""
 
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """What a snapshot says of itself."""
+    """The metadata of a snapshot; see snapshot.proto."""
 
     configuration: bytes
     instance: int
@@ -34,46 +34,49 @@
 
 
 @dataclass(slots=True)
-class Entries:
-    """What was promised and spent after a snapshot was begun. Rows: customer, plan's place, width, and
-    when to come back in milliseconds, or units."""
+class JournalEntries:
+    """Decisions recorded after a snapshot was started.
 
-    promised: list[tuple[int, int, int, float]] = field(default_factory=list)
+    Rows are (customer, plan index, width, value): the value is the client's retry time in milliseconds for a
+    refusal, and the number of units for units spent from a ceiling.
+    """
+
+    refusals: list[tuple[int, int, int, float]] = field(default_factory=list)
     spent: list[tuple[int, int, int, float]] = field(default_factory=list)
     at_ms: float = 0.0
 
 
-def configuration(settings: Settings, shape: bool = True) -> bytes:
-    """A digest of what a snapshot's contents mean something under: the classes and the fleet's shape."""
-    words = [f"{c.name}/{c.effect.value}/{c.aim_ms:g}" if shape else c.name for c in settings.classes]
-    words.append(f"{settings.gateways}/{settings.index}" if shape else "agreed")
-    return hashlib.blake2b("\n".join(words).encode(), digest_size=16).digest()
+def configuration_digest(settings: Settings, include_fleet: bool = True) -> bytes:
+    """A digest of the settings that a snapshot depends on: the classes and, if included, the fleet's size."""
+    parts = [f"{c.name}/{c.effect.value}/{c.aim_ms:g}" if include_fleet else c.name for c in settings.classes]
+    parts.append(f"{settings.gateways}/{settings.index}" if include_fleet else "agreed")
+    return hashlib.blake2b("\n".join(parts).encode(), digest_size=16).digest()
 
 
 # ---- snapshots
 
 
-def header(made: Header) -> bytes:
-    """The first frame."""
-    return frame(
+def encode_header(header: Header) -> bytes:
+    """The first frame of a snapshot."""
+    return encode_frame(
         pb.Record(
             header=pb.Header(
-                version=made.version,
-                configuration=made.configuration,
-                instance=made.instance,
-                generation=made.generation,
-                taken_at_ms=made.taken_at_ms,
-                last=made.last,
-                plans=made.plans,
-                unit_ms=made.unit_ms,
+                version=header.version,
+                configuration=header.configuration,
+                instance=header.instance,
+                generation=header.generation,
+                taken_at_ms=header.taken_at_ms,
+                last=header.last,
+                plans=header.plans,
+                unit_ms=header.unit_ms,
             )
         ).SerializeToString()
     )
 
 
-def customers(rows: Sequence[CustomerSnapshot]) -> bytes:
-    """A frame of some customers."""
-    return frame(
+def encode_customers(rows: Sequence[CustomerSnapshot]) -> bytes:
+    """A frame with some of the customers, one column per field."""
+    return encode_frame(
         pb.Record(
             customers=pb.Customers(
                 number=[r.customer for r in rows],
@@ -92,51 +95,51 @@
     )
 
 
-def end(count: int) -> bytes:
-    """The last frame: without it a snapshot is torn."""
-    return frame(pb.Record(end=pb.End(customers=count)).SerializeToString())
+def encode_end(count: int) -> bytes:
+    """The last frame; a snapshot without it is incomplete."""
+    return encode_frame(pb.Record(end=pb.End(customers=count)).SerializeToString())
 
 
-def read(data: bytes) -> tuple[Header, list[CustomerSnapshot]]:
-    """A whole snapshot; BadSnapshot says what is wrong with it."""
-    found: Header | None = None
+def decode_snapshot(data: bytes) -> tuple[Header, list[CustomerSnapshot]]:
+    """Decode a complete snapshot; InvalidSnapshot with the reason if that fails."""
+    header: Header | None = None
     rows: list[CustomerSnapshot] = []
     ended = False
-    for at, body in frames(data):
+    for offset, body in decode_frames(data):
         if body is None or ended:
-            raise BadSnapshot(f"torn or altered at byte {at}")
+            raise InvalidSnapshot(f"truncated or corrupted at byte {offset}")
         try:
             record = pb.Record.FromString(body)
         except DecodeError as error:
-            raise BadSnapshot(f"byte {at}: {error}") from None
+            raise InvalidSnapshot(f"byte {offset}: {error}") from None
         kind = record.WhichOneof("kind")
-        if (kind == "header") != (found is None):
-            raise BadSnapshot(f"byte {at}: no header first, or a second one")
+        if (kind == "header") != (header is None):
+            raise InvalidSnapshot(f"byte {offset}: expected one header, as the first record")
         if kind == "header":
-            found = _header(record.header)
+            header = _decode_header(record.header)
         elif kind == "customers":
-            rows += _customers(record.customers, at)
+            rows += _decode_customers(record.customers, offset)
         elif kind == "end":
             if record.end.customers != len(rows):
-                raise BadSnapshot(f"{len(rows)} customers of {record.end.customers}")
+                raise InvalidSnapshot(f"contains {len(rows)} customers, expected {record.end.customers}")
             ended = True
         else:
-            raise BadSnapshot(f"byte {at}: a record of an unknown kind")
-    if found is None or not ended:
-        raise BadSnapshot("no end: torn")
-    return found, rows
+            raise InvalidSnapshot(f"byte {offset}: unknown record kind")
+    if header is None or not ended:
+        raise InvalidSnapshot("truncated: no end record")
+    return header, rows
 
 
-def _header(h: pb.Header) -> Header:
+def _decode_header(h: pb.Header) -> Header:
     if h.version != VERSION:
-        raise BadSnapshot(f"version {h.version} of the format, known is {VERSION}")
+        raise InvalidSnapshot(f"unsupported format version {h.version}, expected {VERSION}")
     return Header(
         h.configuration, h.instance, h.generation, h.taken_at_ms, h.last, tuple(h.plans), tuple(h.unit_ms)
     )
 
 
-def _customers(c: pb.Customers, at: int) -> list[CustomerSnapshot]:
-    rows, first = [], 0
+def _decode_customers(c: pb.Customers, offset: int) -> list[CustomerSnapshot]:
+    rows, first_time = [], 0
     columns = (
         c.number,
         c.plan,
@@ -150,49 +153,81 @@
         c.at_ms,
     )
     if len({len(column) for column in columns}) != 1 or sum(c.appointments) != len(c.times):
-        raise BadSnapshot(f"byte {at}: columns of different lengths")
+        raise InvalidSnapshot(f"byte {offset}: columns differ in length")
     times = list(c.times)
-    for number, plan, width, count, queue, answers, total, squares, cap, when in zip(*columns, strict=True):
-        own = times[first : first + count]
-        rows.append(CustomerSnapshot(number, plan, width, own, queue, answers, total, squares, cap, when))
-        first += count
+    for (
+        number,
+        plan,
+        width,
+        count,
+        end_of_queue_ms,
+        answers,
+        unit_sum,
+        unit_squares,
+        cap_tokens,
+        at_ms,
+    ) in zip(*columns, strict=True):
+        appointments = times[first_time : first_time + count]
+        rows.append(
+            CustomerSnapshot(
+                number,
+                plan,
+                width,
+                appointments,
+                end_of_queue_ms,
+                answers,
+                unit_sum,
+                unit_squares,
+                cap_tokens,
+                at_ms,
+            )
+        )
+        first_time += count
     return rows
 
 
 # ---- journals
 
 
-def journal(entries: Entries) -> bytes:
-    """A frame of a journal."""
-    p, s = entries.promised, entries.spent
-    return frame(
+def encode_journal(entries: JournalEntries) -> bytes:
+    """One frame of a journal."""
+    refusals, spent = entries.refusals, entries.spent
+    return encode_frame(
         pb.Journal(
-            promised=[r[0] for r in p],
-            promised_plan=[r[1] for r in p],
-            promised_width=[r[2] for r in p],
-            back_at_ms=[r[3] for r in p],
-            spent=[r[0] for r in s],
-            spent_plan=[r[1] for r in s],
-            spent_width=[r[2] for r in s],
-            units=[r[3] for r in s],
+            promised=[r[0] for r in refusals],
+            promised_plan=[r[1] for r in refusals],
+            promised_width=[r[2] for r in refusals],
+            back_at_ms=[r[3] for r in refusals],
+            spent=[r[0] for r in spent],
+            spent_plan=[r[1] for r in spent],
+            spent_width=[r[2] for r in spent],
+            units=[r[3] for r in spent],
             at_ms=entries.at_ms,
         ).SerializeToString()
     )
 
 
-def read_journals(files: Iterable[bytes]) -> tuple[Entries, bool]:
-    """All that whole frames of these files say, and whether one of them was cut short."""
-    found, torn = Entries(), False
+def decode_journals(files: Iterable[bytes]) -> tuple[JournalEntries, bool]:
+    """The entries of all valid frames of these files, and whether any file was truncated."""
+    entries, truncated = JournalEntries(), False
     for data in files:
-        for _, body in frames(data):
+        for _, body in decode_frames(data):
             try:
-                j = pb.Journal.FromString(body) if body is not None else None
+                journal = pb.Journal.FromString(body) if body is not None else None
             except DecodeError:
-                j = None
-            if j is None:
-                torn = True
+                journal = None
+            if journal is None:
+                truncated = True
                 break
-            found.promised += zip(j.promised, j.promised_plan, j.promised_width, j.back_at_ms, strict=True)
-            found.spent += zip(j.spent, j.spent_plan, j.spent_width, j.units, strict=True)
-            found.at_ms = max(found.at_ms, j.at_ms)
-    return found, torn
+            entries.refusals += zip(
+                journal.promised,
+                journal.promised_plan,
+                journal.promised_width,
+                journal.back_at_ms,
+                strict=True,
+            )
+            entries.spent += zip(
+                journal.spent, journal.spent_plan, journal.spent_width, journal.units, strict=True
+            )
+            entries.at_ms = max(entries.at_ms, journal.at_ms)
+    return entries, truncated
--- a/tamarindfold/rehearsal/day.py
+++ b/tamarindfold/rehearsal/day.py
@@ -6,7 +6,14 @@
 
 from msgspec import Meta, Struct, field
 
-from tamarindfold.config.model import Count, Ms, MsAboveNought, Number, Section, Word
+from tamarindfold.config.model import (
+    PositiveInt,
+    NonNegativeMs,
+    PositiveFloat,
+    NonNegativeFloat,
+    Section,
+    Identifier,
+)
 from tamarindfold.modelcheck.planted import LEASE_FAULTS
 from tamarindfold.rehearsal.relay import LinkFault
 from tamarindfold.standins.base import Fault
@@ -17,16 +24,16 @@
 class Servers(Section, frozen=True):
     """Tariff servers: how many, in how many zones and cells, and what each is (standins.tariff)."""
 
-    count: Count
-    zones: Count = 1
-    cells: Count = 1
+    count: PositiveInt
+    zones: PositiveInt = 1
+    cells: PositiveInt = 1
     like: dict[str, Any] = field(default_factory=dict)
 
 
 class CounterParts(Section, frozen=True):
     """The counter's stand-ins."""
 
-    parts: Count = 1
+    parts: PositiveInt = 1
     like: dict[str, Any] = field(default_factory=dict)
 
 
@@ -34,14 +41,14 @@
     """The introspection stand-in; exp_in_ms bounds each token's life, after which the client gets another."""
 
     like: dict[str, Any] = field(default_factory=dict)
-    exp_in_ms: Ms = 0
+    exp_in_ms: NonNegativeMs = 0
 
 
 class FleetList(Section, frozen=True):
     """The list of servers: how late it tells changes, and how late it notices a dead process."""
 
-    delay_ms: Ms = 100
-    detect_ms: Ms = 1_000
+    delay_ms: NonNegativeMs = 100
+    detect_ms: NonNegativeMs = 1_000
 
 
 class Proxy(Section, frozen=True):
@@ -60,13 +67,13 @@
 class Customers(Section, frozen=True, kw_only=True):
     """A group of customers of one plan that behave alike."""
 
-    name: Word
-    count: Count = 1
-    plan: Word
-    rate: MsAboveNought  # requests a second, each
-    mix: dict[str, Number]  # class to weight
-    units: dict[int, Number] = field(default_factory=lambda: {1: 1.0})  # units to weight
-    spread: MsAboveNought = 1.0  # how evenly over the gateways: small is uneven
+    name: Identifier
+    count: PositiveInt = 1
+    plan: Identifier
+    rate: PositiveFloat  # requests a second, each
+    mix: dict[str, NonNegativeFloat]  # class to weight
+    units: dict[int, NonNegativeFloat] = field(default_factory=lambda: {1: 1.0})  # units to weight
+    spread: PositiveFloat = 1.0  # how evenly over the gateways: small is uneven
     through: Part = 0.0  # of the requests: by the proxies and the forward-auth front
     clients: Literal["library", "rude"] = "library"  # rude: tries again at once, whatever it was told
 
@@ -77,14 +84,14 @@
     retries: Annotated[int, Meta(ge=0)] = 2
     patience_least: Part = 0.5  # of a class's deadline: how long a try is waited for, at least
     bad_tokens: Part = 0.0  # of requests: with a token that is no good
-    most_open: Count = 2_000
+    most_open: PositiveInt = 2_000
 
 
 class Event(Section, frozen=True):
     """One thing that happens. `target` names a process: server N, instance N, counter N, proxy N,
     tokens or fleet."""
 
-    at_ms: Ms
+    at_ms: NonNegativeMs
     do: Literal[
         "fault",
         "clear",
@@ -107,11 +114,11 @@
     ]
     target: str = ""  # for link and heal: `instance 0 > keeper 1`, a `*` for all numbers
     fault: Fault | None = None
-    for_ms: Ms = 0
-    factor: MsAboveNought = 1.0
+    for_ms: NonNegativeMs = 0
+    factor: PositiveFloat = 1.0
     customers: str = ""  # for surge, rotate, set_plan: a group; empty: all
     plan: str = ""  # for set_plan: NAME@VERSION; it is in force lead_ms after it was committed
-    lead_ms: Ms = 1_500
+    lead_ms: NonNegativeMs = 1_500
     link: LinkFault | None = None  # for link
     changes: dict[str, Any] = field(default_factory=dict)  # for propose: sections of the agreed settings
 
@@ -119,17 +126,17 @@
 class Judging(Section, frozen=True):
     """What the judge allows for its own clocks and for a busy machine."""
 
-    slack_ms: Ms = 150
-    window_ms: Ms = 0  # for settings that are agreed; 0: the window that they go by
+    slack_ms: NonNegativeMs = 150
+    window_ms: NonNegativeMs = 0  # for settings that are agreed; 0: the window that they go by
 
 
 class Day(Section, frozen=True):
     """The whole file. `gateway` is a gateway's configuration without what the run fills in."""
 
-    name: Word
+    name: Identifier
     seed: int
-    duration_ms: MsAboveNought
-    instances: Count
+    duration_ms: PositiveFloat
+    instances: PositiveInt
     gateway: dict[str, Any]
     servers: Servers
     customers: Annotated[list[Customers], Meta(min_length=1)]
--- a/tamarindfold/rehearsal/relay.py
+++ b/tamarindfold/rehearsal/relay.py
@@ -19,7 +19,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from tamarindfold.config.model import Count, Ms, Section
+from tamarindfold.config.model import PositiveInt, NonNegativeMs, Section
 from tamarindfold.standins.base import reset
 
 KINDS = ("cut", "stall", "delay", "throttle", "reset", "half_open", "refuse")
@@ -34,10 +34,10 @@
 
     kind: Literal["cut", "stall", "delay", "throttle", "reset", "half_open", "refuse"]
     way: Way = "both"
-    for_ms: Ms = 0
-    delay_ms: Ms = 0
-    jitter_ms: Ms = 0
-    bytes_per_s: Count = 1_000_000
+    for_ms: NonNegativeMs = 0
+    delay_ms: NonNegativeMs = 0
+    jitter_ms: NonNegativeMs = 0
+    bytes_per_s: PositiveInt = 1_000_000
 
 
 class Relay:
--- a/tamarindfold/supervisor/__init__.py
+++ b/tamarindfold/supervisor/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps the programs of a fleet running on one machine: order, readiness, restarts within limits."""
+"""Keeps the programs of a fleet running on one machine: start order, readiness, bounded restarts."""
--- a/tamarindfold/supervisor/policy.py
+++ b/tamarindfold/supervisor/policy.py
@@ -1,8 +1,9 @@
-"""Decides when each program is started, ended, started again or given up. No I/O, no clock.
+"""Decides when each program is started, terminated, restarted or given up. No I/O, no clock.
 
-Programs come up in the order of `after`, each when those before it are ready. One that ends is started again
-after a pause that doubles, at most `most` times within `within_ms`; then it is given up, and what needs it
-stays as it is: a fleet without one part is still a fleet. Stopping goes the other way round.
+Programs start in the order of `after`, each when those it depends on are ready. A program that exits is
+restarted after a delay that doubles, at most `max_restarts` times within `window_ms`. After that it is given
+up; the programs that depend on it are left as they are, so the fleet goes on without it. Programs are stopped
+in the reverse order.
 """
 
 from __future__ import annotations
@@ -15,33 +16,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restarts:
-    """How a program that ended is started again."""
+class RestartLimits:
+    """How often, and after which delay, a program that exited is restarted."""
 
-    most: int = 5
-    within_ms: float = 60_000.0
-    first_ms: float = 200.0
-    most_ms: float = 5_000.0
+    max_restarts: int = 5
+    window_ms: float = 60_000.0
+    initial_delay_ms: float = 200.0
+    max_delay_ms: float = 5_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Spec:
-    """One program."""
+class ProgramSpec:
+    """One program of the fleet."""
 
     name: str
     after: tuple[str, ...] = ()
-    ready_ms: float = 30_000.0  # not ready in this time: ended, which counts as an end of its own
-    stop_ms: float = 20_000.0  # after SIGTERM; then SIGKILL
-    restarts: Restarts = Restarts()
+    ready_ms: float = 30_000.0  # killed if not ready within this time, which counts as an exit
+    stop_ms: float = 20_000.0  # from SIGTERM to SIGKILL
+    restarts: RestartLimits = RestartLimits()
 
 
 class Phase(Enum):
-    """Where a program stands."""
+    """The phase of a program's lifecycle."""
 
     WAITING = "waiting"
     STARTING = "starting"
     READY = "ready"
-    PAUSING = "pausing"
+    RESTART_DELAY = "pausing"
     STOPPING = "stopping"
     STOPPED = "stopped"
     GIVEN_UP = "given up"
@@ -55,112 +56,114 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """End this program: in good order, or at once."""
+class Terminate:
+    """Terminate this program: with SIGTERM, or with SIGKILL if `kill`."""
 
     name: str
     kill: bool = False
 
 
-Action = Start | End
+Action = Start | Terminate
 
 
 @dataclass(slots=True)
-class State:
-    """What is known of one program."""
+class ProgramState:
+    """The state of one program."""
 
-    spec: Spec
+    spec: ProgramSpec
     phase: Phase = Phase.WAITING
-    until_ms: float = inf  # of what it is waiting for
-    ends: deque[float] = field(default_factory=deque)
+    deadline_ms: float = inf  # when the current phase times out
+    exits: deque[float] = field(default_factory=deque)
     starts: int = 0
-    pause_ms: float = 0.0
+    delay_ms: float = 0.0
 
 
 class Policy:
-    """All programs of a fleet; hand it what happens, carry out what it answers."""
+    """All programs of a fleet. Each method takes an event and returns the actions to carry out."""
 
-    def __init__(self, specs: Sequence[Spec]) -> None:
-        """ValueError where names repeat, are unknown or wait for each other."""
-        self.states = {spec.name: State(spec) for spec in specs}
+    def __init__(self, specs: Sequence[ProgramSpec]) -> None:
+        """ValueError if names repeat or are unknown, or if dependencies form a cycle."""
+        self.states = {spec.name: ProgramState(spec) for spec in specs}
         if len(self.states) < len(specs):
-            raise ValueError("two programs have one name")
+            raise ValueError("two programs have the same name")
         self.order: list[str] = []
         self.stopping = False
         for spec in specs:
-            self._place(spec.name, [])
+            self._add_to_order(spec.name, [])
 
-    def _place(self, name: str, below: list[str]) -> None:
+    def _add_to_order(self, name: str, dependents: list[str]) -> None:
         if name in self.order:
             return
         if name not in self.states:
-            raise ValueError(f"{below[-1]}: after {name!r}, which is no program")
-        if name in below:
-            raise ValueError(f"{' after '.join([*below, name])}: none can be first")
-        for before in self.states[name].spec.after:
-            self._place(before, [*below, name])
+            raise ValueError(f"{dependents[-1]}: after {name!r}, which is not a program of the file")
+        if name in dependents:
+            raise ValueError(f"{' after '.join([*dependents, name])}: circular dependency")
+        for dependency in self.states[name].spec.after:
+            self._add_to_order(dependency, [*dependents, name])
         self.order.append(name)
 
     @property
     def done(self) -> bool:
-        """Nothing runs, and nothing will."""
+        """Whether no program runs, and none will be started."""
         return all(s.phase in (Phase.STOPPED, Phase.GIVEN_UP) for s in self.states.values())
 
     @property
     def given_up(self) -> list[str]:
-        """Programs that ended too often."""
+        """Programs that exited too often."""
         return [name for name, s in self.states.items() if s.phase is Phase.GIVEN_UP]
 
-    def ready(self, name: str, now: float) -> list[Action]:
-        """A program serves."""
+    def on_ready(self, name: str, now: float) -> list[Action]:
+        """A program is ready."""
         state = self.states[name]
         if state.phase is Phase.STARTING:
-            state.phase, state.until_ms = Phase.READY, inf
+            state.phase, state.deadline_ms = Phase.READY, inf
         return self.tick(now)
 
-    def ended(self, name: str, now: float) -> list[Action]:
-        """A program is no more, for whatever cause."""
+    def on_exit(self, name: str, now: float) -> list[Action]:
+        """A program exited, for any reason."""
         state, restarts = self.states[name], self.states[name].spec.restarts
         if self.stopping:
-            state.phase, state.until_ms = Phase.STOPPED, inf
+            state.phase, state.deadline_ms = Phase.STOPPED, inf
             return self.tick(now)
-        state.ends.append(now)
-        while state.ends[0] <= now - restarts.within_ms:
-            state.ends.popleft()
-        if len(state.ends) > restarts.most:
-            state.phase, state.until_ms = Phase.GIVEN_UP, inf
+        state.exits.append(now)
+        while state.exits[0] <= now - restarts.window_ms:
+            state.exits.popleft()
+        if len(state.exits) > restarts.max_restarts:
+            state.phase, state.deadline_ms = Phase.GIVEN_UP, inf
             return self.tick(now)
-        state.pause_ms = min(restarts.most_ms, restarts.first_ms * 2 ** (len(state.ends) - 1))
-        state.phase, state.until_ms = Phase.PAUSING, now + state.pause_ms
+        state.delay_ms = min(restarts.max_delay_ms, restarts.initial_delay_ms * 2 ** (len(state.exits) - 1))
+        state.phase, state.deadline_ms = Phase.RESTART_DELAY, now + state.delay_ms
         return self.tick(now)
 
     def stop(self, now: float) -> list[Action]:
-        """Bring everything down."""
+        """Start to stop all programs."""
         self.stopping = True
         for state in self.states.values():
-            if state.phase in (Phase.WAITING, Phase.PAUSING):
-                state.phase, state.until_ms = Phase.STOPPED, inf
+            if state.phase in (Phase.WAITING, Phase.RESTART_DELAY):
+                state.phase, state.deadline_ms = Phase.STOPPED, inf
         return self.tick(now)
 
     def tick(self, now: float) -> list[Action]:
-        """What time, and what happened before, make due."""
+        """The actions that are due now."""
         if self.stopping:
-            return self._down(now)
+            return self._stop_programs(now)
         actions: list[Action] = []
         for name in self.order:
             state = self.states[name]
-            if state.phase is Phase.STARTING and now >= state.until_ms:
-                state.until_ms = inf  # its end is owed now
-                actions.append(End(name, True))
-            free = all(self.states[before].phase is Phase.READY for before in state.spec.after)
-            again = state.phase is Phase.PAUSING and now >= state.until_ms
-            if again or (state.phase is Phase.WAITING and free):
-                state.phase, state.until_ms = Phase.STARTING, now + state.spec.ready_ms
+            if state.phase is Phase.STARTING and now >= state.deadline_ms:
+                state.deadline_ms = inf  # killed; its exit is awaited without a limit
+                actions.append(Terminate(name, True))
+            dependencies_ready = all(
+                self.states[dependency].phase is Phase.READY for dependency in state.spec.after
+            )
+            delay_over = state.phase is Phase.RESTART_DELAY and now >= state.deadline_ms
+            if delay_over or (state.phase is Phase.WAITING and dependencies_ready):
+                state.phase, state.deadline_ms = Phase.STARTING, now + state.spec.ready_ms
                 state.starts += 1
                 actions.append(Start(name))
         return actions
 
-    def _down(self, now: float) -> list[Action]:
+    def _stop_programs(self, now: float) -> list[Action]:
         actions: list[Action] = []
         for name in reversed(self.order):
             state = self.states[name]
@@ -169,13 +172,13 @@
                 for other in self.states.values()
             )
             if state.phase in (Phase.STARTING, Phase.READY) and not needed:
-                state.phase, state.until_ms = Phase.STOPPING, now + state.spec.stop_ms
-                actions.append(End(name))
-            elif state.phase is Phase.STOPPING and now >= state.until_ms:
-                state.until_ms = inf
-                actions.append(End(name, True))
+                state.phase, state.deadline_ms = Phase.STOPPING, now + state.spec.stop_ms
+                actions.append(Terminate(name))
+            elif state.phase is Phase.STOPPING and now >= state.deadline_ms:
+                state.deadline_ms = inf
+                actions.append(Terminate(name, True))
         return actions
 
     def next_at(self) -> float:
-        """When time alone makes something due."""
-        return min((state.until_ms for state in self.states.values()), default=inf)
+        """When the next time-out is due; inf if there is none."""
+        return min((state.deadline_ms for state in self.states.values()), default=inf)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -397,7 +397,7 @@
     """After an outage a drain counts as published as soon as the agent has it; it must be obeyed within the grace."""
     testbed = start_testbed()
     grace_s = testbed.node.config.settings.drain_grace_ms / 1000
-    pauses = [testbed.node.watch.subscription.link.backoff.failed() for _ in range(20)]
+    pauses = [testbed.node.watch.subscription.link.backoff.next_delay_s() for _ in range(20)]
     assert pauses[0] == 0.0 and 0 < max(pauses) <= grace_s / 2
 
 
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tamarindfold.ds.prefixes import Prefixes, address
+from tamarindfold.ds.prefixes import PrefixTrie, parse_address
 from tamarindfold.forward.addresses import Trust
 from tamarindfold.forward.gate import Gate
 from tamarindfold.forward.networks import Networks, Rule
@@ -73,7 +73,7 @@
     except Rejected as fault:
         assert fault.status == 400
     else:
-        address(found)
+        parse_address(found)
 
 
 NETWORKS = st.one_of(
@@ -93,7 +93,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(NETWORKS, max_size=30), st.lists(st.integers(0, 2**32 - 1), max_size=10), st.data())
 def test_the_trie_finds_what_a_scan_finds(networks, addresses, data) -> None:
-    trie: Prefixes[str] = Prefixes()
+    trie: PrefixTrie[str] = PrefixTrie()
     for network in networks:
         trie.add(str(network), str(network))
     assert trie.count == len(set(networks))
@@ -107,7 +107,7 @@
         length = max(
             ((n.prefixlen + (96 if n.version == 4 else 0), str(n)) for n in holding), default=(0, None)
         )
-        found = trie.find(address(str(one)))
+        found = trie.find(parse_address(str(one)))
         assert (found is None) == (length[1] is None)
         if found is not None:
             best = ip_network(found)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -21,7 +21,7 @@
     return 0xFFFF << 32 | 1 if random_address == "1.1" else headers_address(random_address)
 
 
-headers_address = headers.address
+headers_address = headers.parse_address
 
 
 class Joining(RequestReader):
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize(
     ("target", "name", "planted"),
     [
-        ("addresses", "address", deaf),
+        ("addresses", "parse_address", deaf),
         ("messages", "RequestReader", Joining),
         ("originals", "original", lambda asked, names: Request("GET", b"/else")),
         (
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Small parts: clock, list of servers, configuration, the command, and the layers."""
+"""Small components: clock, server list, configuration, command line, and import layers."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 10), st.floats(-1e6, 1e6)), max_size=50))
-def test_the_clock_never_goes_back_whatever_the_wall_clock_does(steps) -> None:
-    at, wall = [0.0], [1000.0]
-    clock = SteadyClock(lambda: at[0], lambda: wall[0])
+def test_the_clock_never_goes_back_when_the_wall_clock_jumps(steps) -> None:
+    monotonic, wall = [0.0], [1000.0]
+    clock = SteadyClock(lambda: monotonic[0], lambda: wall[0])
     last = clock.now()
-    for gone, jump in steps:
-        at[0] += gone
-        wall[0] += gone + jump
+    for elapsed, jump in steps:
+        monotonic[0] += elapsed
+        wall[0] += elapsed + jump
         clock.slew()
         assert clock.now() >= last
         last = clock.now()
 
 
-def test_the_clock_is_drawn_to_the_wall_clock() -> None:
-    at, wall = [0.0], [0.0]
-    clock = SteadyClock(lambda: at[0], lambda: wall[0])
+def test_the_clock_converges_to_the_wall_clock() -> None:
+    monotonic, wall = [0.0], [0.0]
+    clock = SteadyClock(lambda: monotonic[0], lambda: wall[0])
     wall[0] = 2.0
     for _ in range(1000):
-        at[0] += 1.0
+        monotonic[0] += 1.0
         wall[0] += 1.0
         clock.slew()
     assert abs(clock.now() - wall[0] * 1000) < 1
 
 
-# ---- the list of servers
+# ---- server list
 
 
 def line(version: int, kind: str = "changes", *servers: str) -> bytes:
@@ -59,7 +59,7 @@
     return f'{{"address":"127.0.0.1:{port}","state":"{state}"}}'
 
 
-def test_changes_follow_on_a_full_list_and_a_gap_is_told() -> None:
+def test_changes_need_a_full_list_and_consecutive_versions() -> None:
     fleet = ServerList()
     with pytest.raises(FeedGap):
         fleet.apply(line(3))
@@ -71,17 +71,17 @@
     assert fleet.version == 6 and list(fleet.lines) == ["127.0.0.1:2"]
 
 
-def test_a_saved_list_is_cached_news_and_still_needs_a_full_one() -> None:
-    fleet, again = ServerList(), ServerList()
+def test_a_saved_list_is_a_cached_update_and_still_needs_a_full_list() -> None:
+    fleet, restored = ServerList(), ServerList()
     fleet.apply(line(5, "full", server(1), server(2, "draining")))
-    update = again.restore(fleet.encode())
+    update = restored.restore(fleet.encode())
     assert update.kind is ListKind.CACHED and len(update.entries) == 2
     with pytest.raises(FeedGap):
-        again.apply(line(6))
+        restored.apply(line(6))
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         b"",
         b"{}",
@@ -94,20 +94,20 @@
         line(1, "full", '{"address":"127.0.0.1:1","state":"ill"}'),
     ],
 )
-def test_a_bad_line_changes_nothing(bad) -> None:
+def test_an_invalid_line_changes_nothing(invalid) -> None:
     fleet = ServerList()
     fleet.apply(line(1, "full", server(1)))
     with pytest.raises(ValueError, match="feed"):
-        fleet.apply(bad)
+        fleet.apply(invalid)
     assert list(fleet.lines) == ["127.0.0.1:1"] and fleet.version == 1
 
 
-# ---- configuration and command
+# ---- configuration and command line
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "tamarindfold.cli.main", *words],
+        [sys.executable, "-m", "tamarindfold.cli.main", *arguments],
         capture_output=True,
         text=True,
         cwd=ROOT,
@@ -116,12 +116,12 @@
     )
 
 
-def test_the_example_is_what_check_prints() -> None:
-    done = command("check", "examples/gateway.yaml")
+def test_check_accepts_the_example_and_prints_its_plans() -> None:
+    done = run_command("check", "examples/gateway.yaml")
     assert done.returncode == 0 and "plan chain: 40 units/s" in done.stdout
 
 
-FAULTS = [
+INVALID_CONFIGURATIONS = [
     ("instance: {index: 0, gateways: 3", "instance: {index: 5, gateways: 3", "instance.index"),
     ("port: 8080", "port: 80800", "listen.port"),
     ("port: 8080", "prot: 8080", "prot"),
@@ -158,19 +158,19 @@
 ]
 
 
-@pytest.mark.parametrize(("old", "new", "place"), FAULTS)
-def test_a_fault_in_the_configuration_is_one_line_with_its_place(tmp_path, old, new, place) -> None:
+@pytest.mark.parametrize(("old", "new", "key"), INVALID_CONFIGURATIONS)
+def test_a_configuration_error_is_one_line_with_its_key(tmp_path, old, new, key) -> None:
     assert old in EXAMPLE
     file = tmp_path / "g.yaml"
     file.write_text(EXAMPLE.replace(old, new, 1))
     with pytest.raises(ConfigError) as error:
         load(file, GatewayConfig, derive.check)
-    assert str(error.value).startswith(f"{file}: ") and place in str(error.value)
+    assert str(error.value).startswith(f"{file}: ") and key in str(error.value)
     assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
-    ("words", "text"),
+    ("arguments", "text"),
     [
         (["check", "no-such.yaml"], "No such file"),
         (["serve", "README.md"], "README.md"),
@@ -186,8 +186,8 @@
         (["fleet", "up", "no.yaml"], "no.yaml"),
     ],
 )
-def test_bad_input_ends_with_one_line_and_exit_2(words, text) -> None:
-    done = command(*words)
+def test_invalid_input_ends_with_one_line_and_exit_2(arguments, text) -> None:
+    done = run_command(*arguments)
     assert done.returncode == 2
     assert text in done.stderr and len(done.stderr.strip().splitlines()) == 1
 
@@ -195,8 +195,8 @@
 # ---- layers
 
 
-def test_the_floors_are_held_and_a_planted_import_upward_is_found(tmp_path) -> None:
-    words = [
+def test_import_layers_hold_and_an_added_upward_import_is_found(tmp_path) -> None:
+    lint_command = [
         sys.executable,
         "-c",
         "from importlinter.cli import lint_imports_command; lint_imports_command()",
@@ -207,22 +207,22 @@
         ROOT / "tamarindfold", tmp_path / "tamarindfold", ignore=shutil.ignore_patterns("__pycache__")
     )
     shutil.copy(ROOT / "pyproject.toml", tmp_path)
-    done = subprocess.run(words, cwd=tmp_path, capture_output=True, text=True)
+    done = subprocess.run(lint_command, cwd=tmp_path, capture_output=True, text=True)
     assert done.returncode == 0, done.stdout
     wheel = tmp_path / "tamarindfold" / "ds" / "wheel.py"
     wheel.write_text(wheel.read_text() + "\nimport tamarindfold.ingress.core\n")
-    done = subprocess.run(words, cwd=tmp_path, capture_output=True, text=True)
+    done = subprocess.run(lint_command, cwd=tmp_path, capture_output=True, text=True)
     assert done.returncode == 1 and "tamarindfold.ds.wheel -> tamarindfold.ingress.core" in done.stdout
 
 
-def test_only_drivers_of_layer_2_touch_sockets() -> None:
-    for layer in ("introspection", "counter", "membership", "forward", "limits", "identity"):
-        for path in (ROOT / "tamarindfold" / layer).glob("*.py"):
+def test_only_driver_modules_use_gevent() -> None:
+    for package in ("introspection", "counter", "membership", "forward", "limits", "identity"):
+        for path in (ROOT / "tamarindfold" / package).glob("*.py"):
             if path.name != "driver.py":
                 assert "gevent" not in path.read_text(), path
 
 
-def test_the_bench_adapter_needs_no_library() -> None:
+def test_the_simulator_adapter_needs_no_third_party_library() -> None:
     code = (
         "import sys; sys.modules.update(dict.fromkeys(['gevent','httptools','msgspec','yaml','click'], None));"
         "import tamarindfold.bench.link"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -467,6 +467,6 @@
 
 def test_backoff_starts_at_zero_doubles_and_is_bounded() -> None:
     b = Backoff(0.1, 0.5)
-    assert [b.failed() for _ in range(6)] == [0.0, 0.1, 0.2, 0.4, 0.5, 0.5]
-    b.well()
-    assert b.failed() == 0.0
+    assert [b.next_delay_s() for _ in range(6)] == [0.0, 0.1, 0.2, 0.4, 0.5, 0.5]
+    b.reset()
+    assert b.next_delay_s() == 0.0
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -1,4 +1,4 @@
-"""The timing wheel against a plain list."""
+"""The timing wheel compared with a plain list."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 @settings(max_examples=200, deadline=None)
 @given(steps, st.floats(0, 2e12))
-def test_timers_fire_once_in_order_never_early_and_a_slot_late_at_most(script, start) -> None:
+def test_timers_fire_once_never_early_and_at_most_one_slot_late(script, start) -> None:
     wheel = TimerWheel(start, 4.0)
     now, numbers = start, iter(range(1000))
-    standing: dict[int, tuple[float, object]] = {}
-    for what, amount in script:
-        if what == "set":
+    pending: dict[int, tuple[float, object]] = {}
+    for operation, amount in script:
+        if operation == "set":
             number = next(numbers)
-            standing[number] = now + amount, wheel.schedule(now + amount, lambda number=number: number)
-        elif what == "off" and standing:
-            number = list(standing)[int(amount) % len(standing)]
-            wheel.cancel(standing.pop(number)[1])
-        elif what == "on":
+            pending[number] = now + amount, wheel.schedule(now + amount, lambda number=number: number)
+        elif operation == "off" and pending:
+            number = list(pending)[int(amount) % len(pending)]
+            wheel.cancel(pending.pop(number)[1])
+        elif operation == "on":
             now += min(amount, 2e6)
             for timer in wheel.advance(now):
-                due, _ = standing.pop(timer.call())
+                due, _ = pending.pop(timer.callback())
                 assert due <= now
-            # what was due a slot ago has fired; one set in the past waits for the next advance
-            assert all(due > now - 8.0 for due, _ in standing.values())
-        assert wheel.count == len(standing)
+            # Timers due a slot ago have fired; one set in the past fires at the next advance.
+            assert all(due > now - 8.0 for due, _ in pending.values())
+        assert wheel.count == len(pending)
 
 
-def test_what_was_called_off_or_fired_can_be_called_off_again() -> None:
+def test_cancelling_a_fired_or_cancelled_timer_has_no_effect() -> None:
     wheel = TimerWheel(0.0)
     timer = wheel.schedule(10, lambda: None)
     assert wheel.advance(20) == [timer]
