--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -25,11 +25,11 @@
 
 from tamarindfold.choice import Gateway
 from tamarindfold.client.blocking import Client
-from tamarindfold.client.budget import Budget
-from tamarindfold.client.core import Answered, Ask, Call, Outcome, Result, Rules, Wait, Woke
+from tamarindfold.client.budget import RetryBudget
+from tamarindfold.client.core import Answered, CallSpec, Call, Outcome, Result, Rules, Wait, Woke
 from tamarindfold.client.gateways import Gateways
 from tamarindfold.client.shared import Settings as ClientSettings
-from tamarindfold.client.spread import Reconnects
+from tamarindfold.client.jitter import ReconnectSchedule
 from tamarindfold.interface import (
     AttemptEnded,
     BackendEntry,
@@ -59,14 +59,14 @@
     names = [f"g{i}" for i in range(gateways)]
     for i in range(clients):
         random = Random(f"{seed}/{i}")
-        own = Reconnects(f"till-{i}", 5_000, 200, 30_000, random.random)
+        own = ReconnectSchedule(f"till-{i}", 5_000, 200, 30_000, random.random)
         gateway = Gateways(names, f"till-{i}", random.random).order[0]
-        now = own.lost(random.random() * 50, gateway)  # the restart reaches all within 50 ms
+        now = own.connection_lost(random.random() * 50, gateway)  # the restart reaches all within 50 ms
         while True:
             library.append(now)
             if now >= down_ms:
                 break
-            now = own.lost(now, gateway)
+            now = own.connection_lost(now, gateway)
         now = Random(f"{seed}/{i}").random() * 50
         while True:
             plain.append(now)
@@ -197,11 +197,11 @@
             if customer not in shared:
                 shared[customer] = (
                     Gateways(["g"], str(customer), draw),
-                    Budget(),
-                    Reconnects(str(customer), 0, 200, 5000, draw),
+                    RetryBudget(),
+                    ReconnectSchedule(str(customer), 0, 200, 5000, draw),
                 )
             gateways, budget, back = shared[customer]
-            call = Call(Rules(4), Ask("safe", deadline), gateways, budget, back, draw)
+            call = Call(Rules(4), CallSpec("safe", deadline), gateways, budget, back, draw)
             by_core(now, call, call.start(now))
         else:
             plainly(now, deadline, 3)
--- a/fuzz/headers.py
+++ b/fuzz/headers.py
@@ -18,9 +18,9 @@
 from random import Random
 
 from tamarindfold.ds.prefixes import PrefixTrie, parse_address
-from tamarindfold.forward.addresses import Trust
-from tamarindfold.forward.original import Names, original
-from tamarindfold.forward.reports import read
+from tamarindfold.forward.addresses import TrustedProxies
+from tamarindfold.forward.original import OriginalRequestHeaders, parse_original_request
+from tamarindfold.forward.reports import parse_reports
 from tamarindfold.http1.requests import Headers, Rejected, Request, RequestReader
 from tamarindfold.introspection import bearer
 
@@ -99,9 +99,12 @@
     b"",
 ]
 TRUSTED = ["10.0.0.0/8", "fd00::/8", "127.0.0.0/8"]
-TRUST = Trust(TRUSTED)
+TRUST = TrustedProxies(TRUSTED)
 NETWORKS = [ip_network(text) for text in TRUSTED]
-CONFIGURED = (Names(), Names.of(["x-original-method"], ["x-original-uri"], ["host"], "/auth", ["a"]))
+CONFIGURED = (
+    OriginalRequestHeaders(),
+    OriginalRequestHeaders.from_config(["x-original-method"], ["x-original-uri"], ["host"], "/auth", ["a"]),
+)
 
 
 class Found(Exception):
@@ -176,7 +179,7 @@
     given = [pair for pair in headers(random) if pair[0] in (b"x-forwarded-for", b"forwarded")]
     peer = random.choice(["10.0.0.9", "203.0.113.9", "::ffff:10.1.1.1", "2001:db8::7"])
     try:
-        client = TRUST.client(peer, given)
+        client = TRUST.client_address(peer, given)
     except Rejected as fault:
         if fault.status != 400:
             raise Found(f"chain {given!r}: {fault.status}") from None
@@ -195,7 +198,7 @@
     asked = Request(random.choice(("GET", "POST")), target, headers(random))
     for names in CONFIGURED:
         try:
-            found = original(asked, names)
+            found = parse_original_request(asked, names)
         except Rejected as fault:
             if not 400 <= fault.status < 500:
                 raise Found(f"original {asked!r}: {fault.status}") from None
@@ -210,7 +213,7 @@
     good = b'{"request":"b","status":0,"elapsed_ms":2.5,"units":1}\n'
     body = b"".join(random.choices([*PIECES, b"\n", good], k=random.randint(0, 6)))
     try:
-        found = read(body)
+        found = parse_reports(body)
     except Rejected as fault:
         if fault.status not in (400, 413):
             raise Found(f"reports {body!r}: {fault.status}") from None
@@ -223,7 +226,7 @@
     """An Authorization value gives a token of allowed characters, none, or BadCredentials."""
     given = value(random)
     try:
-        token = bearer.token(given)
+        token = bearer.parse_authorization(given)
     except bearer.BadCredentials:
         return
     if token is not None and (not token or any(c <= 32 or c > 126 or c in b'",\\' for c in token)):
--- a/tamarindfold/client/__init__.py
+++ b/tamarindfold/client/__init__.py
@@ -1,7 +1,7 @@
-"""The client library: calls through the gateway that keep deadlines and repeat only what may be repeated.
+"""The client library: calls through the gateways with deadlines, retrying only what is safe to repeat.
 
-The core (core, gateways, budget, spread, tokens, protocol) is standard library only and does no I/O. The
-drivers (blocking, aio) need httpx.
+The core modules (core, gateways, budget, jitter, tokens, protocol) use only the standard library and do no
+I/O. The drivers (blocking, aio) need httpx.
 """
 
 from tamarindfold.client.core import Call, Outcome, Result, Rules
--- a/tamarindfold/client/aio.py
+++ b/tamarindfold/client/aio.py
@@ -1,4 +1,4 @@
-"""The asyncio driver, on httpx; the same decisions as the blocking one."""
+"""The asyncio driver, on httpx. It uses the same core as the blocking one."""
 
 from __future__ import annotations
 
@@ -8,22 +8,35 @@
 import httpx
 
 from tamarindfold.client.core import Broken, Event, NoToken, Result, Send, Wait, Woke
-from tamarindfold.client.shared import NOTHING, Mind, Reply, Settings, answered, fault, now_ms, try_headers
+from tamarindfold.client.shared import (
+    NO_ANSWER,
+    ClientState,
+    Reply,
+    Settings,
+    answer_event,
+    error_event,
+    now_ms,
+    try_headers,
+)
 from tamarindfold.client.tokens import Fetch, Hold, Use
 
-LOOK_EVERY_S = 0.05  # while another task fetches the token
+TOKEN_POLL_S = 0.05  # polling interval while another task fetches the token
 
 
 class AsyncClient:
-    """Calls through the gateways of one customer, in one event loop."""
+    """A client of the gateways for one customer, in one event loop."""
 
     def __init__(self, settings: Settings, transport: httpx.AsyncBaseTransport | None = None) -> None:
-        self.mind = Mind(settings)
+        self.state = ClientState(settings)
         self.closed = asyncio.Event()
-        own = transport or httpx.AsyncHTTPTransport(limits=self.mind.limits(True), retries=0)
-        once = transport or httpx.AsyncHTTPTransport(limits=self.mind.limits(False), retries=0)
-        self.kept = httpx.AsyncClient(transport=own, trust_env=False)
-        self.once = httpx.AsyncClient(transport=once, trust_env=False)
+        pooled_transport = transport or httpx.AsyncHTTPTransport(
+            limits=self.state.limits(reuse=True), retries=0
+        )
+        unpooled_transport = transport or httpx.AsyncHTTPTransport(
+            limits=self.state.limits(reuse=False), retries=0
+        )
+        self.pooled = httpx.AsyncClient(transport=pooled_transport, trust_env=False)
+        self.unpooled = httpx.AsyncClient(transport=unpooled_transport, trust_env=False)
         self.renewals: set[asyncio.Task[None]] = set()
 
     async def __aenter__(self) -> AsyncClient:
@@ -35,12 +48,12 @@
         await self.close()
 
     async def close(self) -> None:
-        """No more tries; calls that wait end at once, those with a try out as soon as that ends."""
+        """Start no more tries. Waiting calls end at once, others as soon as their try in flight ends."""
         self.closed.set()
         for task in self.renewals:
             task.cancel()
-        await self.kept.aclose()
-        await self.once.aclose()
+        await self.pooled.aclose()
+        await self.unpooled.aclose()
 
     async def call(
         self,
@@ -55,11 +68,11 @@
         units: float | None = None,
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """One call to its end, as `blocking.Client.call`. A cancelled call's try may run."""
+        """Make one call, as `blocking.Client.call`. If it is cancelled, a try in flight may still run."""
         if effect == "keyed" and not key:
             raise ValueError("a keyed call needs a key")
-        call, name = self.mind.call(effect, deadline_ms, window_ms)
-        action, reply = call.start(now_ms()), NOTHING
+        call, name = self.state.call(effect, deadline_ms, window_ms)
+        action, reply = call.start(now_ms()), NO_ANSWER
         while not isinstance(action, Result):
             if self.closed.is_set():
                 action = call.stop()
@@ -73,7 +86,7 @@
         return Reply(action, reply.status, reply.headers, reply.body)
 
     async def _pause(self, ms: float) -> None:
-        """Wait so long, or until the client is closed."""
+        """Sleep for this long, or until the client is closed."""
         try:
             await asyncio.wait_for(self.closed.wait(), max(0.0, ms) / 1000)
         except TimeoutError:
@@ -90,13 +103,13 @@
         units: float | None,
         extra: dict[str, str],
     ) -> tuple[Event, Reply]:
-        began = now_ms()
-        token = await self._token(began + send.time_left_ms)
-        left = send.time_left_ms - (now_ms() - began)
+        started = now_ms()
+        token = await self._token(started + send.time_left_ms)
+        left = send.time_left_ms - (now_ms() - started)
         if token is None or left <= 0:
-            return NoToken(), NOTHING
-        client = self.kept if send.effect != "unsafe" else self.once
-        sent = extra | try_headers(send, name, units, key, token)
+            return NoToken(), NO_ANSWER
+        client = self.pooled if send.effect != "unsafe" else self.unpooled
+        request_headers = extra | try_headers(send, name, units, key, token)
         try:
             async with (
                 asyncio.timeout(left / 1000),
@@ -104,27 +117,28 @@
                     method,
                     send.gateway + path,
                     content=body or None,
-                    headers=sent,
-                    timeout=self.mind.timeout(left),
+                    headers=request_headers,
+                    timeout=self.state.timeout(left),
                 ) as answer,
             ):
                 parts = [part async for part in answer.aiter_raw()]
         except TimeoutError:
-            return Broken(), NOTHING
-        except (httpx.TransportError, httpx.InvalidURL, RuntimeError) as error:  # the last: closed meanwhile
-            return fault(error), NOTHING
+            return Broken(), NO_ANSWER
+        except (httpx.TransportError, httpx.InvalidURL, RuntimeError) as error:
+            # httpx raises RuntimeError if the client was closed in the meantime
+            return error_event(error), NO_ANSWER
         if answer.status_code == 401:
-            self.mind.tokens.refused(token)
-        found = dict(answer.headers)
-        return answered(answer.status_code, found), Reply(
-            NOTHING.result, answer.status_code, found, b"".join(parts)
+            self.state.tokens.rejected(token)
+        received = dict(answer.headers)
+        return answer_event(answer.status_code, received), Reply(
+            NO_ANSWER.result, answer.status_code, received, b"".join(parts)
         )
 
     async def _token(self, until_ms: float) -> str | None:
-        if self.mind.settings.token:
-            return self.mind.settings.token
+        if self.state.settings.token:
+            return self.state.settings.token
         while now_ms() < until_ms and not self.closed.is_set():
-            match self.mind.tokens.need(now_ms()):
+            match self.state.tokens.need(now_ms()):
                 case Use(token, renew):
                     if renew:
                         task = asyncio.create_task(self._fetch(until_ms))
@@ -134,20 +148,20 @@
                 case Fetch():
                     await self._fetch(until_ms)
                 case Hold(until):
-                    wait = LOOK_EVERY_S * 1000 if until is None else min(until, until_ms) - now_ms()
+                    wait = TOKEN_POLL_S * 1000 if until is None else min(until, until_ms) - now_ms()
                     await self._pause(max(1.0, wait))
         return None
 
     async def _fetch(self, until_ms: float) -> None:
-        url, headers, form = self.mind.token_request()
+        url, headers, form = self.state.token_request()
         try:
-            answer = await self.kept.post(
-                url, headers=headers, data=form, timeout=self.mind.timeout(until_ms - now_ms())
+            answer = await self.pooled.post(
+                url, headers=headers, data=form, timeout=self.state.timeout(until_ms - now_ms())
             )
         except asyncio.CancelledError:
-            self.mind.tokens.failed(now_ms())
+            self.state.tokens.failed(now_ms())
             raise
         except (httpx.HTTPError, RuntimeError):
-            self.mind.tokens.failed(now_ms())
+            self.state.tokens.failed(now_ms())
             return
-        self.mind.token_answer(answer)
+        self.state.apply_token_answer(answer)
--- a/tamarindfold/client/blocking.py
+++ b/tamarindfold/client/blocking.py
@@ -1,4 +1,4 @@
-"""The blocking driver, on httpx: for threads, and for greenlets where sockets are patched."""
+"""The blocking driver, on httpx: for threads, and for greenlets with patched sockets."""
 
 from __future__ import annotations
 
@@ -8,23 +8,34 @@
 import httpx
 
 from tamarindfold.client.core import Broken, Event, NoToken, Result, Send, Wait, Woke
-from tamarindfold.client.shared import NOTHING, Mind, Reply, Settings, answered, fault, now_ms, try_headers
+from tamarindfold.client.shared import (
+    NO_ANSWER,
+    ClientState,
+    Reply,
+    Settings,
+    answer_event,
+    error_event,
+    now_ms,
+    try_headers,
+)
 from tamarindfold.client.tokens import Fetch, Hold, Use
 
-LOOK_EVERY_S = 0.05  # while another thread fetches the token
+TOKEN_POLL_S = 0.05  # polling interval while another thread fetches the token
 
 
 class Client:
-    """Calls through the gateways of one customer."""
+    """A client of the gateways for one customer. It may be shared by threads."""
 
     def __init__(self, settings: Settings, transport: httpx.BaseTransport | None = None) -> None:
-        self.mind = Mind(settings)
-        self.lock = threading.Lock()  # the decisions are shared; a call's own I/O is not under it
+        self.state = ClientState(settings)
+        self.lock = threading.Lock()  # guards the shared state; never held during I/O
         self.closed = threading.Event()
-        own = transport or httpx.HTTPTransport(limits=self.mind.limits(True), retries=0)
-        once = transport or httpx.HTTPTransport(limits=self.mind.limits(False), retries=0)
-        self.kept = httpx.Client(transport=own, trust_env=False)
-        self.once = httpx.Client(transport=once, trust_env=False)
+        pooled_transport = transport or httpx.HTTPTransport(limits=self.state.limits(reuse=True), retries=0)
+        unpooled_transport = transport or httpx.HTTPTransport(
+            limits=self.state.limits(reuse=False), retries=0
+        )
+        self.pooled = httpx.Client(transport=pooled_transport, trust_env=False)
+        self.unpooled = httpx.Client(transport=unpooled_transport, trust_env=False)
 
     def __enter__(self) -> Client:
         return self
@@ -35,10 +46,10 @@
         self.close()
 
     def close(self) -> None:
-        """No more tries; calls that wait end at once, those with a try out as soon as that ends."""
+        """Start no more tries. Waiting calls end at once, others as soon as their try in flight ends."""
         self.closed.set()
-        self.kept.close()
-        self.once.close()
+        self.pooled.close()
+        self.unpooled.close()
 
     def call(
         self,
@@ -53,14 +64,17 @@
         units: float | None = None,
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """One call to its end. effect: safe, keyed (with a key, and the window in which the servers drop
-        repeats) or unsafe. ValueError for a keyed call without a key."""
+        """Make one call and wait for its result.
+
+        effect: safe, keyed (with a key, and the window in which the servers drop repeats) or unsafe. Raises
+        ValueError for a keyed call without a key.
+        """
         if effect == "keyed" and not key:
             raise ValueError("a keyed call needs a key")
         with self.lock:
-            call, name = self.mind.call(effect, deadline_ms, window_ms)
+            call, name = self.state.call(effect, deadline_ms, window_ms)
             action = call.start(now_ms())
-        reply = NOTHING
+        reply = NO_ANSWER
         while not isinstance(action, Result):
             if self.closed.is_set():
                 action = call.stop()
@@ -85,46 +99,47 @@
         units: float | None,
         extra: dict[str, str],
     ) -> tuple[Event, Reply]:
-        """One try: what came of it."""
-        began = now_ms()
-        token = self._token(send, began + send.time_left_ms)
-        left = send.time_left_ms - (now_ms() - began)
+        """Send one try; returns its event and the answer."""
+        started = now_ms()
+        token = self._token(send, started + send.time_left_ms)
+        left = send.time_left_ms - (now_ms() - started)
         if token is None or left <= 0:
-            return NoToken(), NOTHING
-        client = self.kept if send.effect != "unsafe" else self.once
-        sent = extra | try_headers(send, name, units, key, token)
+            return NoToken(), NO_ANSWER
+        client = self.pooled if send.effect != "unsafe" else self.unpooled
+        request_headers = extra | try_headers(send, name, units, key, token)
         try:
             with client.stream(
                 method,
                 send.gateway + path,
                 content=body or None,
-                headers=sent,
-                timeout=self.mind.timeout(left),
+                headers=request_headers,
+                timeout=self.state.timeout(left),
             ) as answer:
                 parts = []
-                for part in answer.iter_raw():  # as it comes: a chunk size would wait for a whole chunk
+                for part in answer.iter_raw():  # without a chunk size, which would wait for a full chunk
                     parts.append(part)
-                    if now_ms() - began > send.time_left_ms:
-                        return Broken(), NOTHING  # it trickles: each read in time, the whole not
-        except (httpx.TransportError, httpx.InvalidURL, RuntimeError) as error:  # the last: closed meanwhile
-            return fault(error), NOTHING
+                    if now_ms() - started > send.time_left_ms:
+                        return Broken(), NO_ANSWER  # a slow answer: each read was in time, the total is not
+        except (httpx.TransportError, httpx.InvalidURL, RuntimeError) as error:
+            # httpx raises RuntimeError if the client was closed in the meantime
+            return error_event(error), NO_ANSWER
         if answer.status_code == 401:
             with self.lock:
-                self.mind.tokens.refused(token)
-        found = dict(answer.headers)
-        return answered(answer.status_code, found), Reply(
-            NOTHING.result, answer.status_code, found, b"".join(parts)
+                self.state.tokens.rejected(token)
+        received = dict(answer.headers)
+        return answer_event(answer.status_code, received), Reply(
+            NO_ANSWER.result, answer.status_code, received, b"".join(parts)
         )
 
     # ---- tokens
 
     def _token(self, send: Send, until_ms: float) -> str | None:
-        """A token; None where there is none in time."""
-        if self.mind.settings.token:
-            return self.mind.settings.token
+        """A token; None if none can be had by until_ms."""
+        if self.state.settings.token:
+            return self.state.settings.token
         while now_ms() < until_ms and not self.closed.is_set():
             with self.lock:
-                need = self.mind.tokens.need(now_ms())
+                need = self.state.tokens.need(now_ms())
             match need:
                 case Use(token, renew):
                     if renew:
@@ -133,19 +148,19 @@
                 case Fetch():
                     self._fetch(until_ms)
                 case Hold(until):
-                    pause = LOOK_EVERY_S if until is None else (min(until, until_ms) - now_ms()) / 1000
+                    pause = TOKEN_POLL_S if until is None else (min(until, until_ms) - now_ms()) / 1000
                     self.closed.wait(max(0.001, pause))
         return None
 
     def _fetch(self, until_ms: float) -> None:
-        url, headers, form = self.mind.token_request()
+        url, headers, form = self.state.token_request()
         try:
-            answer = self.kept.post(
-                url, headers=headers, data=form, timeout=self.mind.timeout(until_ms - now_ms())
+            answer = self.pooled.post(
+                url, headers=headers, data=form, timeout=self.state.timeout(until_ms - now_ms())
             )
         except (httpx.HTTPError, RuntimeError):
             with self.lock:
-                self.mind.tokens.failed(now_ms())
+                self.state.tokens.failed(now_ms())
             return
         with self.lock:
-            self.mind.token_answer(answer)
+            self.state.apply_token_answer(answer)
--- a/tamarindfold/client/budget.py
+++ b/tamarindfold/client/budget.py
@@ -1,21 +1,21 @@
-"""A bound on repeats, so that many clients' repeats can't keep an overload alive."""
+"""A limit on retries, so that the retries of many clients cannot sustain an overload."""
 
 from __future__ import annotations
 
 
-class Budget:
-    """Each call earns a part of a repeat; what is saved up is bounded."""
+class RetryBudget:
+    """Each call earns a fraction of a retry; the number of saved retries is limited."""
 
-    def __init__(self, part: float = 0.2, most: float = 10.0) -> None:
-        self.part, self.most, self.left = part, most, most
+    def __init__(self, retries_per_call: float = 0.2, max_saved: float = 10.0) -> None:
+        self.retries_per_call, self.max_saved, self.saved = retries_per_call, max_saved, max_saved
 
     def earn(self) -> None:
-        """A call begins."""
-        self.left = min(self.most, self.left + self.part)
+        """Credit the start of a call."""
+        self.saved = min(self.max_saved, self.saved + self.retries_per_call)
 
     def spend(self) -> bool:
-        """A repeat, if there is one left."""
-        if self.left < 1.0:
+        """Take one retry from the budget; False if less than one is left."""
+        if self.saved < 1.0:
             return False
-        self.left -= 1.0
+        self.saved -= 1.0
         return True
--- a/tamarindfold/client/core.py
+++ b/tamarindfold/client/core.py
@@ -1,6 +1,7 @@
-"""Decides one call: try where, wait until when, give up with what. No I/O, no clock; chance comes in.
+"""The state machine of one call: which gateway to try, how long to wait, and when to give up.
 
-Give it an event, do what it says, and report what came of that; there is never more than one try out.
+It does no I/O and reads no clock, and random numbers come from the caller: hand it each event with the
+current time, carry out the returned action, and report the result. At most one try is in flight.
 """
 
 from __future__ import annotations
@@ -9,28 +10,30 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tamarindfold.client.budget import Budget
+from tamarindfold.client.budget import RetryBudget
 from tamarindfold.client.gateways import Gateways
+from tamarindfold.client.jitter import Draw, ReconnectSchedule, next_pause
 from tamarindfold.client.protocol import wait_ms
-from tamarindfold.client.spread import Draw, Reconnects, next_pause
 
-LATER_PART, LATER_LEAST_MS = 0.1, 25.0  # after a refusal: this much later than told, at random; never earlier
-SLOT_PART = 0.5  # of the time left: what a call gives at most to the spread of reconnects
+# after a refusal a call retries up to this much later than the gateway asks for, at random, and never earlier
+REFUSAL_JITTER = 0.1  # of the requested wait
+MIN_REFUSAL_JITTER_MS = 25.0
+MAX_RECONNECT_SHARE = 0.5  # of the time left: what a call gives at most to the staggering of reconnects
 
 
 class Outcome(Enum):
     """How a call ended."""
 
     SERVED = "served"
-    REJECTED = "rejected"  # the request itself is wrong, or not allowed: not to be repeated
-    REFUSED = "refused"  # did not run; the wait it was told, or the budget, leaves no room for another try
-    FAILED = "failed"  # did not run, or may safely be asked again by the caller
-    UNKNOWN = "unknown"  # may have run, and must not run twice: look before doing anything
+    REJECTED = "rejected"  # the request itself is invalid or not allowed: not to be repeated
+    REFUSED = "refused"  # did not run; the requested wait or the budget leaves no room for another try
+    FAILED = "failed"  # did not run, or is safe for the caller to repeat
+    UNKNOWN = "unknown"  # may have run, and must not run twice: check before repeating it
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What holds for all calls of a client. Times in milliseconds."""
+    """Limits for all calls of a client. Times in milliseconds."""
 
     most_tries: int = 4
     pause_base_ms: float = 50.0
@@ -38,12 +41,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """One call: its class's effect (safe, keyed, unsafe), and until when its answer is of use."""
+class CallSpec:
+    """One call: the effect of its class (safe, keyed or unsafe) and its deadline."""
 
     effect: str
     deadline_ms: float
-    window_ms: float = 0.0  # keyed: how long repeats are dropped, from the first try
+    window_ms: float = 0.0  # keyed: how long servers drop repeats, counted from the first try
 
     def __post_init__(self) -> None:
         if self.effect not in ("safe", "keyed", "unsafe"):
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer. wall_ms: the wall clock, for dates in it."""
+    """A complete answer. wall_ms: the wall-clock time, to interpret dates in its headers."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
@@ -64,17 +67,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreached:
-    """No byte of the try was written."""
+    """The try failed before any byte of it was written."""
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The connection was lost, or time ran out, with some of the try written and no whole answer."""
+    """The try failed or timed out after some of it was written, without a complete answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoToken:
-    """Nothing was sent: no token was to be had. No gateway is to blame."""
+    """Nothing was sent because no token could be obtained, which is not the gateway's fault."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,26 +93,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Make a try; retry: mark it so; fresh_token: fetch another token first."""
+    """Send a try. retry: mark it as a retry; fresh_token: fetch a new token first."""
 
     gateway: str
     number: int
     retry: bool
     time_left_ms: float
     fresh_token: bool = False
-    effect: str = "safe"  # what must not run twice goes on a connection of its own
+    effect: str = "safe"  # an unsafe try needs a connection of its own
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Do nothing until then, then report Woke."""
+    """Do nothing until this time, then report Woke."""
 
     until_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The end of the call. again_ms: when coming back is harmless, where a refusal told."""
+    """The end of the call. again_ms: after a refusal, when the gateway allows another call."""
 
     outcome: Outcome
     reason: str
@@ -124,139 +127,146 @@
     """One call from its first try to its end."""
 
     def __init__(
-        self, rules: Rules, ask: Ask, gateways: Gateways, budget: Budget, reconnects: Reconnects, draw: Draw
+        self,
+        rules: Rules,
+        spec: CallSpec,
+        gateways: Gateways,
+        budget: RetryBudget,
+        reconnects: ReconnectSchedule,
+        draw: Draw,
     ) -> None:
-        self.rules, self.ask = rules, ask
+        self.rules, self.spec = rules, spec
         self.gateways, self.budget, self.reconnects, self.draw = gateways, budget, reconnects, draw
         self.tries = 0
         self.tried: list[str] = []
-        self.out = ""  # the gateway of the try that is out
+        self.in_flight = ""  # the gateway of the try in flight
         self.may_have_run = False
         self.first_sent = 0.0
         self.pause_ms = 0.0
         self.retry = self.renewed = self.fresh_token = False
-        self.slotted = False  # has given its time to the spread of reconnects
+        self.waited_to_reconnect = False  # has just waited for the gateway's reconnect time
         self.result: Result | None = None
 
     def start(self, now: float) -> Action:
-        """The first thing to do."""
+        """The first action."""
         self.budget.earn()
         return self._try(now)
 
     def handle(self, now: float, event: Event) -> Action:
-        """What to do after this. RuntimeError where the event fits nothing that is out."""
+        """The next action after an event. Raises RuntimeError if the event is not expected in this state."""
         if self.result is not None:
             return self.result
         if isinstance(event, Woke):
-            if self.out:
-                raise RuntimeError("woken with a try out")
+            if self.in_flight:
+                raise RuntimeError("Woke while a try is in flight")
             return self._try(now)
-        if not self.out:
-            raise RuntimeError("an answer with no try out")
-        gateway, self.out = self.out, ""
+        if not self.in_flight:
+            raise RuntimeError("result of a try while none is in flight")
+        gateway, self.in_flight = self.in_flight, ""
         match event:
             case Answered():
-                self.gateways.good(gateway)
+                self.gateways.record_answer(gateway)
                 self.reconnects.connected(gateway)
                 return self._answered(now, event)
             case Unreached():
-                self.gateways.bad(now, gateway)
-                self.reconnects.lost(now, gateway)
-                return self._again(now, "no gateway could be reached")
+                self.gateways.record_failure(now, gateway)
+                self.reconnects.connection_lost(now, gateway)
+                return self._retry_or_end(now, "no gateway could be reached")
             case NoToken():
-                self.gateways.left(gateway)
-                return self._again(now, "no token was to be had")
+                self.gateways.cancel_try(gateway)
+                return self._retry_or_end(now, "no token was to be had")
             case Broken():
-                self.gateways.bad(now, gateway)
-                self.reconnects.lost(now, gateway)
+                self.gateways.record_failure(now, gateway)
+                self.reconnects.connection_lost(now, gateway)
                 self.may_have_run = True
-                return self._again(now, "the connection was lost, or no answer came in time")
+                return self._retry_or_end(now, "the connection was lost, or no answer came in time")
 
     # ---- answers
 
     def _answered(self, now: float, event: Answered) -> Action:
-        said, status = event.headers.get("tamarind-outcome", ""), event.status
-        if said == "served" or (not said and status < 400):
+        outcome, status = event.headers.get("tamarind-outcome", ""), event.status
+        if outcome == "served" or (not outcome and status < 400):
             return self._end(Outcome.SERVED, "")
         if status == 401 and not self.renewed:
-            self.renewed = self.fresh_token = True  # nothing ran; once, with another token
-            return self._once_more(now, "the token was not accepted")
-        if said == "rejected" or (not said and 400 <= status < 500 and status not in (408, 429)):
+            self.renewed = self.fresh_token = True  # the request did not run: try once more with a new token
+            return self._try_with_new_token(now, "the token was not accepted")
+        if outcome == "rejected" or (not outcome and 400 <= status < 500 and status not in (408, 429)):
             return self._end(Outcome.REJECTED, f"status {status}")
-        if said == "refused" or (not said and status == 429):
+        if outcome == "refused" or (not outcome and status == 429):
             return self._refused(now, wait_ms(event.headers, event.wall_ms))
-        self.may_have_run = True  # failed, or an answer from who knows where
-        return self._again(now, f"status {status}")
+        self.may_have_run = True  # failed, or an error status without an outcome of the gateway
+        return self._retry_or_end(now, f"status {status}")
 
     def _refused(self, now: float, wait: float) -> Action:
-        """Wait as told, a little more by chance; give up at once where that leaves no time."""
-        back = now + wait + self.draw() * max(LATER_LEAST_MS, LATER_PART * wait)
-        if back >= self._until():
+        """Wait as long as requested plus jitter, or end at once if that exceeds the deadline."""
+        retry_at = now + wait + self.draw() * max(MIN_REFUSAL_JITTER_MS, REFUSAL_JITTER * wait)
+        if retry_at >= self._send_deadline():
             return self._end(Outcome.REFUSED, "the wait that was told lies beyond the deadline", now + wait)
         if self.tries >= self.rules.most_tries or not self.budget.spend():
             return self._end(Outcome.REFUSED, "no more tries are left", now + wait)
         self.retry = True
-        self.tried.clear()  # it is the customer who was refused, not the gateway that was bad
-        return Wait(back)
+        self.tried.clear()  # the refusal concerns the customer: the gateway itself is healthy
+        return Wait(retry_at)
 
     # ---- tries
 
-    def _once_more(self, now: float, reason: str) -> Action:
-        if self.tries >= self.rules.most_tries or now >= self.ask.deadline_ms:
+    def _try_with_new_token(self, now: float, reason: str) -> Action:
+        if self.tries >= self.rules.most_tries or now >= self.spec.deadline_ms:
             return self._end(Outcome.REJECTED, reason)
         return self._try(now)
 
-    def _again(self, now: float, reason: str) -> Action:
-        """The one table of repeats: by effect, and by whether a try may have run."""
-        effect = self.ask.effect
+    def _retry_or_end(self, now: float, reason: str) -> Action:
+        """Decide about a retry, by the call's effect and by whether a try may have run."""
+        effect = self.spec.effect
         if effect == "unsafe" and self.may_have_run:
             return self._end(Outcome.UNKNOWN, reason)
         rules = self.rules
         self.pause_ms = next_pause(self.pause_ms, rules.pause_base_ms, rules.pause_most_ms, self.draw)
-        back = now + self.pause_ms
-        if back >= self._until() or self.tries >= rules.most_tries or not self.budget.spend():
+        retry_at = now + self.pause_ms
+        if retry_at >= self._send_deadline() or self.tries >= rules.most_tries or not self.budget.spend():
             return self._end(Outcome.FAILED, reason)
-        return Wait(back)
+        return Wait(retry_at)
 
-    def _until(self) -> float:
-        """Until when a try may be sent: a keyed one that may have run only while repeats are dropped.
+    def _send_deadline(self) -> float:
+        """Until when a try may be sent.
 
-        Looked at before each send, whatever was waited for: a slot for reconnecting once reached beyond it.
+        A keyed call that may have run is repeated only while servers drop repeats of its key. This is checked
+        before each send, because a wait of any kind, such as one to reconnect, can outlast that window.
         """
-        ask = self.ask
-        if ask.effect == "keyed" and self.may_have_run:
-            return min(ask.deadline_ms, self.first_sent + ask.window_ms)
-        return ask.deadline_ms
+        spec = self.spec
+        if spec.effect == "keyed" and self.may_have_run:
+            return min(spec.deadline_ms, self.first_sent + spec.window_ms)
+        return spec.deadline_ms
 
     def _try(self, now: float) -> Action:
-        left = self._until() - now
+        left = self._send_deadline() - now
         if left <= 0:
             return self._end(Outcome.FAILED, "the deadline has passed")
         gateway = self.gateways.choose(now, self.tried)
-        slot = self.reconnects.may_at(gateway)
-        if slot > now and not self.slotted:  # it was lost, and others lost it too: in turn
-            self.slotted = True
-            return Wait(min(slot, now + left * SLOT_PART))
-        self.slotted = False
+        reconnect_at = self.reconnects.not_before(gateway)
+        if reconnect_at > now and not self.waited_to_reconnect:  # other clients lost it too: take turns
+            self.waited_to_reconnect = True
+            return Wait(min(reconnect_at, now + left * MAX_RECONNECT_SHARE))
+        self.waited_to_reconnect = False
         if not self.tries:
             self.first_sent = now
         number, self.tries = self.tries, self.tries + 1
-        fresh, self.fresh_token = self.fresh_token, False
-        self.out = gateway
+        fresh_token, self.fresh_token = self.fresh_token, False
+        self.in_flight = gateway
         self.tried.append(gateway)
-        return Send(gateway, number, self.retry, self.ask.deadline_ms - now, fresh, self.ask.effect)
+        return Send(gateway, number, self.retry, self.spec.deadline_ms - now, fresh_token, self.spec.effect)
 
     def stop(self) -> Result:
-        """The client is closed; a try that is out may run."""
+        """End the call because the client is closed; a try in flight may still run."""
         if self.result is None:
-            self.may_have_run = self.may_have_run or bool(self.out)
+            self.may_have_run = self.may_have_run or bool(self.in_flight)
             self._end(Outcome.FAILED, "the client was closed")
         assert self.result is not None
         return self.result
 
     def _end(self, outcome: Outcome, reason: str, again_ms: float = 0.0) -> Result:
-        """Whatever the last try came to: if an earlier one may have run, nobody knows."""
-        if outcome is not Outcome.SERVED and self.may_have_run and self.ask.effect != "safe":
+        """End the call. If an earlier try of a call that is not safe may have run, the outcome is unknown."""
+        if outcome is not Outcome.SERVED and self.may_have_run and self.spec.effect != "safe":
             outcome = Outcome.UNKNOWN
         self.result = Result(outcome, reason, self.tries, again_ms)
         return self.result
--- a/tamarindfold/client/shared.py
+++ b/tamarindfold/client/shared.py
@@ -1,4 +1,4 @@
-"""What both drivers share: settings, a client's decisions, and what a transport's faults tell them."""
+"""What both drivers share: settings, the state of a client, and the mapping of httpx results to events."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 import httpx
 
-from tamarindfold.client.budget import Budget
-from tamarindfold.client.core import Answered, Ask, Broken, Call, Outcome, Result, Rules, Send, Unreached
+from tamarindfold.client.budget import RetryBudget
+from tamarindfold.client.core import Answered, Broken, Call, CallSpec, Outcome, Result, Rules, Send, Unreached
 from tamarindfold.client.gateways import Gateways
+from tamarindfold.client.jitter import ReconnectSchedule
 from tamarindfold.client.protocol import headers
-from tamarindfold.client.spread import Reconnects
-from tamarindfold.client.tokens import Tokens
+from tamarindfold.client.tokens import TokenCache
 
-# a fault of these kinds comes before the first byte of a request is written
-BEFORE_THE_FIRST_BYTE = (
+# errors that are raised before the first byte of a request is written
+NOT_SENT_ERRORS = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
     httpx.PoolTimeout,
@@ -29,23 +29,27 @@
     httpx.UnsupportedProtocol,
     httpx.InvalidURL,
 )
-CONNECT_PART = 0.5  # of the time left: what connecting may take at most, so that another gateway can be tried
+CONNECT_SHARE = 0.5  # of the time left: the limit for connecting, so that another gateway can be tried
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """One client. identity: stable over restarts and different for each till; times in milliseconds."""
+    """The settings of one client. Times in milliseconds.
+
+    identity: stable over restarts and different for each client. spread_ms: the time over which clients
+    stagger their reconnects. repeat_part: the retries that each call adds to the retry budget.
+    """
 
     gateways: Sequence[str]  # base URLs
     identity: str = ""
-    token: str = ""  # a token or API key that does not change
-    token_url: str = ""  # else: the token endpoint, with the client's id and secret (RFC 6749 section 4.4)
+    token: str = ""  # a fixed token or API key
+    token_url: str = ""  # or a token endpoint, with the client's id and secret (RFC 6749 section 4.4)
     client_id: str = ""
     client_secret: str = ""
     scope: str = ""
     rules: Rules = field(default_factory=Rules)
     connections: int = 20
-    idle_ms: float = 30_000.0  # less than the gateway's own 75 s, so that the client is the one that closes
+    idle_ms: float = 30_000.0  # below the gateway's 75 s, so that the client closes first
     spread_ms: float = 5_000.0
     repeat_part: float = 0.2
 
@@ -53,14 +57,14 @@
         for gateway in self.gateways:
             parts = urlsplit(gateway)
             if parts.scheme not in ("http", "https") or not parts.hostname or parts.path not in ("", "/"):
-                raise ValueError(f"gateway {gateway!r} is no http or https base URL")
+                raise ValueError(f"gateway {gateway!r} is not an http or https base URL")
         if bool(self.token) == bool(self.token_url):
-            raise ValueError("give either a token or a token_url")
+            raise ValueError("either token or token_url is required, and not both")
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A call's end and, where it was answered, the last answer."""
+    """The result of a call and the last answer, if there was one."""
 
     result: Result
     status: int = 0
@@ -69,15 +73,15 @@
 
     @property
     def served(self) -> bool:
-        """Whether the server's answer is here."""
+        """Whether the reply holds the server's answer."""
         return self.result.outcome is Outcome.SERVED
 
 
-NOTHING = Reply(Result(Outcome.FAILED, "", 0))
+NO_ANSWER = Reply(Result(Outcome.FAILED, "", 0))
 
 
-class Mind:
-    """The decisions that all calls of a client share."""
+class ClientState:
+    """The state that all calls of a client share."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -85,72 +89,75 @@
         self.draw = draw
         identity = settings.identity or f"{socket.gethostname()}/{settings.client_id}"
         self.gateways = Gateways([g.rstrip("/") for g in settings.gateways], identity, draw)
-        self.budget = Budget(settings.repeat_part)
-        self.reconnects = Reconnects(identity, settings.spread_ms, 200.0, 30_000.0, draw)
-        self.tokens = Tokens(draw)
+        self.budget = RetryBudget(settings.repeat_part)
+        self.reconnects = ReconnectSchedule(identity, settings.spread_ms, 200.0, 30_000.0, draw)
+        self.tokens = TokenCache(draw)
         self.prefix = secrets.token_hex(6)
-        self.numbers = 0
+        self.call_count = 0
 
     def call(self, effect: str, deadline_ms: float, window_ms: float) -> tuple[Call, str]:
-        """A new call, deadline_ms from now, and its name."""
-        self.numbers += 1
-        ask = Ask(effect, now_ms() + deadline_ms, window_ms)
-        made = Call(self.settings.rules, ask, self.gateways, self.budget, self.reconnects, self.draw)
-        return made, f"{self.prefix}-{self.numbers}"
+        """A new call with its deadline in deadline_ms, and its request name."""
+        self.call_count += 1
+        spec = CallSpec(effect, now_ms() + deadline_ms, window_ms)
+        call = Call(self.settings.rules, spec, self.gateways, self.budget, self.reconnects, self.draw)
+        return call, f"{self.prefix}-{self.call_count}"
 
     def timeout(self, left_ms: float) -> httpx.Timeout:
-        """For one try."""
+        """The time-outs of one try."""
         left = max(0.001, left_ms / 1000)
-        return httpx.Timeout(left, connect=left * CONNECT_PART, pool=left * CONNECT_PART)
+        return httpx.Timeout(left, connect=left * CONNECT_SHARE, pool=left * CONNECT_SHARE)
+
+    def limits(self, reuse: bool) -> httpx.Limits:
+        """The connection limits. reuse: connections may serve several requests.
 
-    def limits(self, kept: bool) -> httpx.Limits:
-        """kept: connections may be used again. Not for what must not run twice: a gateway may close an idle
-        connection just as it is used, and then nobody knows."""
+        Unsafe calls must not reuse connections: if the gateway closes an idle connection just as a request is
+        sent on it, it is unknown whether the request ran.
+        """
         return httpx.Limits(
             max_connections=self.settings.connections,
-            max_keepalive_connections=self.settings.connections if kept else 0,
+            max_keepalive_connections=self.settings.connections if reuse else 0,
             keepalive_expiry=self.settings.idle_ms / 1000,
         )
 
     def token_request(self) -> tuple[str, dict[str, str], dict[str, str]]:
-        """URL, headers and form of a client credentials grant."""
-        s = self.settings
-        pair = f"{quote_plus(s.client_id)}:{quote_plus(s.client_secret)}".encode()
-        form = {"grant_type": "client_credentials"} | ({"scope": s.scope} if s.scope else {})
-        return s.token_url, {"authorization": "Basic " + base64.b64encode(pair).decode()}, form
-
-    def token_answer(self, answer: httpx.Response) -> None:
-        """Take what the token endpoint said."""
-        life: float | None = None
+        """URL, headers and form fields of a client credentials request."""
+        settings = self.settings
+        credentials = f"{quote_plus(settings.client_id)}:{quote_plus(settings.client_secret)}".encode()
+        form = {"grant_type": "client_credentials"} | ({"scope": settings.scope} if settings.scope else {})
+        return settings.token_url, {"authorization": "Basic " + base64.b64encode(credentials).decode()}, form
+
+    def apply_token_answer(self, answer: httpx.Response) -> None:
+        """Apply the answer of the token endpoint."""
+        lifetime_ms: float | None = None
         token = ""
         if answer.status_code == 200:
             try:
                 body = answer.json()
                 token = body["access_token"]
-                life = float(body["expires_in"]) * 1000 if "expires_in" in body else None
+                lifetime_ms = float(body["expires_in"]) * 1000 if "expires_in" in body else None
             except (ValueError, KeyError, TypeError):
                 token = ""
         if token and isinstance(token, str):
-            self.tokens.fetched(now_ms(), token, life)
+            self.tokens.fetched(now_ms(), token, lifetime_ms)
         else:
             self.tokens.failed(now_ms())
 
 
 def now_ms() -> float:
-    """Monotonic milliseconds: a wall clock that is set leaves deadlines alone."""
+    """Monotonic milliseconds: adjustments of the wall clock do not affect deadlines."""
     return time.monotonic() * 1000
 
 
-def answered(status: int, found: Mapping[str, str]) -> Answered:
-    """A whole answer as an event."""
-    return Answered(status, {name.lower(): value for name, value in found.items()}, time.time() * 1000)
+def answer_event(status: int, received: Mapping[str, str]) -> Answered:
+    """The event for a complete answer."""
+    return Answered(status, {name.lower(): value for name, value in received.items()}, time.time() * 1000)
 
 
-def fault(error: Exception) -> Unreached | Broken:
-    """What a transport's fault says of the try."""
-    return Unreached() if isinstance(error, BEFORE_THE_FIRST_BYTE) else Broken()
+def error_event(error: Exception) -> Unreached | Broken:
+    """The event for a transport error: whether any byte of the try was written."""
+    return Unreached() if isinstance(error, NOT_SENT_ERRORS) else Broken()
 
 
 def try_headers(send: Send, name: str, units: float | None, key: str, token: str) -> dict[str, str]:
-    """The headers of a try; each has a name of its own."""
+    """The headers of a try. Each try has its own request name."""
     return headers(f"{name}.{send.number}", send.time_left_ms, send.retry, units, key, token)
--- a/tamarindfold/client/vectors.py
+++ b/tamarindfold/client/vectors.py
@@ -1,8 +1,8 @@
-"""Conformance vectors for clients in other languages: what happens to a call, and what the core does.
+"""Conformance vectors for clients in other languages: events of calls and the core's actions.
 
-`python -m tamarindfold.client.vectors FOLDER` writes them. A vector is a client's life: its settings, the
-random numbers it is to use in turn, and calls as steps of (now, event or null for the start, action). Two
-calls of one vector share gateways, budget and reconnects.
+`python -m tamarindfold.client.vectors FOLDER` writes them. A vector is one simulated client: its settings,
+the random numbers that it draws in order, and its calls, each a list of steps (now, event or null for the
+start, action). The calls of a vector share gateways, retry budget and reconnect schedule.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from random import Random
 from typing import Any
 
-from tamarindfold.client.budget import Budget
+from tamarindfold.client.budget import RetryBudget
 from tamarindfold.client.core import (
     Action,
     Answered,
-    Ask,
     Broken,
     Call,
+    CallSpec,
     Event,
     NoToken,
     Result,
@@ -31,12 +31,14 @@
     Woke,
 )
 from tamarindfold.client.gateways import Gateways
+from tamarindfold.client.jitter import ReconnectSchedule
 from tamarindfold.client.protocol import wait_ms
-from tamarindfold.client.spread import Reconnects
 
-LIVES, CALLS, WALL_MS = 120, 6, 1_800_000_000_000.0
+VECTOR_COUNT = 120
+CALLS_PER_VECTOR = 6
+WALL_MS = 1_800_000_000_000.0
 
-WAITS: list[dict[str, str]] = [
+WAIT_HEADERS: list[dict[str, str]] = [
     {},
     {"retry-after": "3"},
     {"retry-after": "0"},
@@ -56,7 +58,7 @@
 
 
 def event_json(event: Event) -> dict[str, Any]:
-    """An event as it stands in a vector."""
+    """The JSON form of an event in a vector."""
     match event:
         case Answered(status, headers, wall):
             return {"kind": "answered", "status": status, "headers": dict(headers), "wall_ms": wall}
@@ -71,7 +73,7 @@
 
 
 def event_from(data: dict[str, Any]) -> Event:
-    """The event that stands in a vector."""
+    """The event with this JSON form."""
     match data["kind"]:
         case "answered":
             return Answered(data["status"], data["headers"], data["wall_ms"])
@@ -85,7 +87,7 @@
 
 
 def action_json(action: Action) -> dict[str, Any]:
-    """An action as it stands in a vector; times to the microsecond, other languages may round otherwise."""
+    """The JSON form of an action; times are rounded to microseconds, as languages differ in rounding."""
     match action:
         case Send(gateway, number, retry, left, fresh, effect):
             return {
@@ -109,14 +111,14 @@
             }
 
 
-class Life:
-    """One client of a vector."""
+class VectorClient:
+    """The client of one vector."""
 
     def __init__(self, settings: dict[str, Any], draw: Callable[[], float]) -> None:
         self.draw = draw
         self.gateways = Gateways(settings["gateways"], settings["identity"], draw)
-        self.budget = Budget(settings["budget_part"], settings["budget_most"])
-        self.reconnects = Reconnects(
+        self.budget = RetryBudget(settings["budget_part"], settings["budget_most"])
+        self.reconnects = ReconnectSchedule(
             settings["identity"],
             settings["spread_ms"],
             settings["reconnect_base_ms"],
@@ -126,13 +128,13 @@
         self.rules = Rules(settings["most_tries"], settings["pause_base_ms"], settings["pause_most_ms"])
 
     def call(self, ask: dict[str, Any]) -> Call:
-        """A call of this client."""
-        made = Ask(ask["effect"], ask["deadline_ms"], ask["window_ms"])
-        return Call(self.rules, made, self.gateways, self.budget, self.reconnects, self.draw)
+        """A new call, from its JSON form."""
+        spec = CallSpec(ask["effect"], ask["deadline_ms"], ask["window_ms"])
+        return Call(self.rules, spec, self.gateways, self.budget, self.reconnects, self.draw)
 
 
-def _event(random: Random, wait: bool) -> Event:
-    if wait:
+def _random_event(random: Random, waiting: bool) -> Event:
+    if waiting:
         return Woke()
     kind = random.random()
     if kind < 0.2:
@@ -173,7 +175,7 @@
     return Answered(status, headers, WALL_MS)
 
 
-def make(seed: int) -> dict[str, Any]:
+def make_vector(seed: int) -> dict[str, Any]:
     """One vector."""
     random = Random(seed)
     settings = {
@@ -194,22 +196,22 @@
         draws.append(round(random.random(), 9))
         return draws[-1]
 
-    life, now, calls = Life(settings, draw), 1000.0, []
-    for _ in range(CALLS):
+    client, now, calls = VectorClient(settings, draw), 1000.0, []
+    for _ in range(CALLS_PER_VECTOR):
         effect = random.choice(("safe", "keyed", "unsafe"))
         ask = {
             "effect": effect,
             "deadline_ms": now + random.choice((400.0, 3000.0, 20_000.0)),
             "window_ms": random.choice((500.0, 3000.0)) if effect == "keyed" else 0.0,
         }
-        call = life.call(ask)
+        call = client.call(ask)
         action = call.start(now)
         steps: list[dict[str, Any]] = [{"now": now, "event": None, "action": action_json(action)}]
         while not isinstance(action, Result):
-            wait = isinstance(action, Wait)
+            waiting = isinstance(action, Wait)
             now = max(now, action.until_ms) if isinstance(action, Wait) else now + random.choice((3.0, 120.0))
             now = round(now, 3)
-            event = _event(random, wait)
+            event = _random_event(random, waiting)
             action = call.handle(now, event)
             steps.append({"now": now, "event": event_json(event), "action": action_json(action)})
         calls.append({"ask": ask, "steps": steps})
@@ -222,9 +224,10 @@
     folder = Path(sys.argv[1])
     folder.mkdir(parents=True, exist_ok=True)
     waits = [
-        {"headers": headers, "wall_ms": WALL_MS, "wait_ms": wait_ms(headers, WALL_MS)} for headers in WAITS
+        {"headers": headers, "wall_ms": WALL_MS, "wait_ms": wait_ms(headers, WALL_MS)}
+        for headers in WAIT_HEADERS
     ]
-    for name, data in (("calls", [make(seed) for seed in range(LIVES)]), ("waits", waits)):
+    for name, data in (("calls", [make_vector(seed) for seed in range(VECTOR_COUNT)]), ("waits", waits)):
         (folder / f"{name}.json").write_text(json.dumps(data, separators=(",", ":")) + "\n")
 
 
--- a/tamarindfold/forward/__init__.py
+++ b/tamarindfold/forward/__init__.py
@@ -1,1 +1,1 @@
-"""Forward authentication: a proxy asks for each request whether it may pass (docs/forward-auth.md)."""
+"""Forward authentication: a reverse proxy asks, for each request, whether it may pass."""
--- a/tamarindfold/forward/addresses.py
+++ b/tamarindfold/forward/addresses.py
@@ -1,4 +1,4 @@
-"""Whose word is believed, and what a chain of proxies says of the client. No I/O."""
+"""Trusted proxies, and the client address in the chain of proxies that they report. No I/O."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from tamarindfold.ds.prefixes import PrefixTrie, parse_address
 from tamarindfold.http1.requests import Headers, Rejected
 
-MOST_HOPS = 32
+MAX_HOPS = 32
 _NODE = re.compile(r'(?:"\[([0-9A-Fa-f:.]+)\](?::[0-9]{1,5})?"|"?([0-9.]+)(?::[0-9]{1,5})?"?)')
 
 
-class Trust:
-    """The networks of the proxies."""
+class TrustedProxies:
+    """The networks of the proxies whose headers are trusted."""
 
     def __init__(self, networks: Sequence[str]) -> None:
-        """ValueError names a network that is none."""
+        """Raises ValueError, naming the network, if one is not valid CIDR."""
         self.networks: PrefixTrie[bool] = PrefixTrie()
         for network in networks:
             self.networks.add(network, True)
@@ -27,11 +27,11 @@
         except ValueError:
             return False
 
-    def client(self, peer: str, headers: Headers) -> str:
-        """The client's address: the chain walked from the right, past every proxy that is trusted.
+    def client_address(self, peer: str, headers: Headers) -> str:
+        """The client's address: the last untrusted hop of the chain, searched from the right.
 
-        The first that is not trusted is the client: what stands left of it is its own invention.
-        Rejected(400) where what a trusted proxy wrote is no chain of addresses.
+        Entries to the left of it come from the client and may be forged. Raises Rejected(400) if a trusted
+        proxy's header is not a chain of addresses.
         """
         chain = self._chain(headers)
         found = peer
@@ -44,27 +44,30 @@
     @staticmethod
     def _chain(headers: Headers) -> list[str]:
         forwarded = [value for name, value in headers if name == b"forwarded"]
-        plain = [value for name, value in headers if name == b"x-forwarded-for"]
-        if forwarded and plain:
+        x_forwarded_for = [value for name, value in headers if name == b"x-forwarded-for"]
+        if forwarded and x_forwarded_for:
             raise Rejected(400, "Forwarded and X-Forwarded-For both: which one the proxy wrote can't be told")
-        text = b",".join(forwarded or plain).decode("latin-1")
+        text = b",".join(forwarded or x_forwarded_for).decode("latin-1")
         hops = [hop.strip() for hop in text.split(",") if hop.strip()]
-        if len(hops) > MOST_HOPS:
-            raise Rejected(400, f"over {MOST_HOPS} hops")
-        return [_for(hop) if forwarded else _plain(hop) for hop in hops]
+        if len(hops) > MAX_HOPS:
+            raise Rejected(400, f"over {MAX_HOPS} hops")
+        return [_parse_forwarded_element(hop) if forwarded else _parse_x_forwarded_for(hop) for hop in hops]
 
 
-def _plain(hop: str) -> str:
-    """An address as X-Forwarded-For has it, a port left off."""
+def _parse_x_forwarded_for(hop: str) -> str:
+    """The address of an X-Forwarded-For entry, without a port."""
     if hop.count(":") == 1:
         hop = hop.partition(":")[0]
     hop = hop.removeprefix("[").partition("]")[0]
-    _checked(hop)
+    _require_address(hop)
     return hop
 
 
-def _for(element: str) -> str:
-    """The `for` of a forwarded-element (RFC 7239 section 4); a hidden one ends the chain as 0.0.0.0."""
+def _parse_forwarded_element(element: str) -> str:
+    """The `for` address of a forwarded-element (RFC 7239 section 4).
+
+    An obfuscated or unknown node is returned as 0.0.0.0, which ends the chain.
+    """
     for pair in element.split(";"):
         name, _, value = pair.strip().partition("=")
         if name.lower() == "for":
@@ -74,12 +77,12 @@
             if found is None:
                 raise Rejected(400, "Forwarded: a node that is no address")
             node = found[1] or found[2]
-            _checked(node)
+            _require_address(node)
             return node
     raise Rejected(400, "Forwarded: an element without for")
 
 
-def _checked(text: str) -> None:
+def _require_address(text: str) -> None:
     try:
         parse_address(text)
     except ValueError as error:
--- a/tamarindfold/forward/networks.py
+++ b/tamarindfold/forward/networks.py
@@ -1,4 +1,4 @@
-"""What the configuration says of clients' networks: refused, or in a zone. No I/O."""
+"""Configured rules for clients' networks: refuse their requests, or assign a zone. No I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
-    """Of one network; the longest that holds an address counts alone."""
+class NetworkRule:
+    """The rule for one network. Only the longest matching prefix applies to an address."""
 
     refuse: bool = False
     zone: int | None = None
 
 
-class Networks:
+class NetworkRules:
     """Rules by network."""
 
-    def __init__(self, rules: Iterable[tuple[str, Rule]]) -> None:
-        """ValueError names a network that is none."""
-        self.rules: PrefixTrie[Rule] = PrefixTrie()
+    def __init__(self, rules: Iterable[tuple[str, NetworkRule]]) -> None:
+        """Raises ValueError, naming the network, if one is not valid CIDR."""
+        self.rules: PrefixTrie[NetworkRule] = PrefixTrie()
         for network, rule in rules:
             self.rules.add(network, rule)
 
-    def find(self, text: str) -> Rule | None:
-        """The rule for a client's address; None where there is none, or the address is none."""
+    def find(self, text: str) -> NetworkRule | None:
+        """The rule for a client's address; None if no network matches or the address is invalid."""
         try:
             return self.rules.find(parse_address(text)) if self.rules.count else None
         except ValueError:
--- a/tamarindfold/forward/permits.py
+++ b/tamarindfold/forward/permits.py
@@ -1,8 +1,8 @@
-"""Decides what becomes of each name that a proxy asks about: one decision, one permit, one settlement.
+"""The life cycle of request names in forward authentication: one decision, permit and settlement each.
 
-A name goes from deciding to held or refused, and from held to settled or lapsed. Proxies send sub-requests
-twice, report twice, too early, too late, to another instance, about what was refused, or never: each of these
-has one place here. No I/O, no clock.
+A name goes from deciding to held or refused, and from held to settled or lapsed. Proxies may repeat a
+sub-request, and they may report a request twice, early, late, never, to another instance, or although it was
+refused: each of these cases is handled in one place here. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from tamarindfold.interface import Outcome
 
 P = TypeVar("P")  # a permit
-D = TypeVar("D")  # who waits for a decision
+D = TypeVar("D")  # a pending decision that repeated sub-requests wait for
 
 
 class Phase(Enum):
-    """How far a name has come."""
+    """The state of a name."""
 
     DECIDING = 0
-    HELD = 1
-    REFUSED = 2  # or given up before there was a decision
+    HELD = 1  # permitted; the report is outstanding
+    REFUSED = 2  # or abandoned by the asker before there was a decision
     SETTLED = 3
-    LAPSED = 4
+    LAPSED = 4  # no report came in time
 
 
 @dataclass(frozen=True, slots=True)
-class Owed:
-    """What a request that was not permitted uses, should the proxy let it pass all the same."""
+class UnpermittedUse:
+    """The use to charge if the proxy lets a request pass without a permit."""
 
     customer: int
     plan: int
@@ -41,105 +41,121 @@
 
 @dataclass(slots=True)
 class Entry(Generic[P, D]):
-    """One name. `until_ms`: when a held permit lapses, or an ended one is forgotten."""
+    """One name. until_ms: when the entry of a name that has ended is removed, or a held permit lapses."""
 
-    what: Hashable  # the request's own marks: another request under the same name is told by them
+    identity: Hashable  # what identifies the request: the name may be reused for a different one
     phase: Phase = Phase.DECIDING
     permit: P | None = None
     decision: D | None = None
-    owed: Owed | None = None
-    early: Report | None = None
+    unpermitted_use: UnpermittedUse | None = None
+    early_report: Report | None = None
     until_ms: float = 0.0
     repeats: int = 0
 
 
-# ---- what the asking of a name comes to
+# ---- results of sub-requests
 
 
-class Ask(Enum):
-    """What a driver does with a sub-request."""
+class SubRequestStep(Enum):
+    """What the caller does with a sub-request."""
 
-    NEW = "new"  # decide it
-    JOIN = "join"  # the same is being decided: wait for that
-    AGAIN = "again"  # it was permitted: the same answer once more, nothing counted
-    OTHER = "other"  # the name is another request's, or worn out: decide it under a name of our own
-    FULL = "full"  # no further permit can be held
+    NEW = "new"  # make a decision
+    JOIN = "join"  # a decision for the same request is pending: wait for it
+    REPLAY = "again"  # already permitted: send the same answer again, count nothing
+    RENAME = "other"  # the name belongs to another request or has ended: use a generated name
+    LIMIT_REACHED = "full"  # no further permit can be held
 
 
-# ---- what a report comes to
+# ---- results of reports
 
 
-class Told(Enum):
-    """What was done with a report; the value is what the reporter is told."""
+class ReportResult(Enum):
+    """The result of a report. The value is sent to the reporter."""
 
     SETTLED = "settled"
-    NOTED = "noted"  # before the decision's answer: settled with it
+    NOTED = "noted"  # the decision is still pending: settled together with it
     REPEATED = "repeated"
-    LATE = "late"  # the permit had lapsed; its units stay as they were asked for
-    CHARGED = "charged"  # let through without or against our word: counted now
-    NOBODYS = "nobody's"  # let through, but whose it was is not known
+    LATE = "late"  # the permit has lapsed; the units stay as requested
+    CHARGED = "charged"  # the request passed without a permit: its use is counted now
+    UNATTRIBUTED = "nobody's"  # the request passed without a permit, and its customer is not known
     UNKNOWN = "unknown"
-    ELSEWHERE = "elsewhere"  # another instance permitted it
+    OTHER_INSTANCE = "elsewhere"  # the permit is from another instance
 
 
 class Permits(Generic[P, D]):
     """All names of one instance."""
 
-    def __init__(self, index: int, most: int, most_repeats: int, most_ended: int, remember_ms: float) -> None:
-        self.index, self.most, self.most_repeats = index, most, most_repeats
-        self.most_ended, self.remember_ms = most_ended, remember_ms
-        self.names: dict[str, Entry[P, D]] = {}
-        self.ended: OrderedDict[str, None] = OrderedDict()  # the longest ended stand first
+    def __init__(
+        self, instance: int, max_permits: int, max_repeats: int, max_ended: int, remember_ms: float
+    ) -> None:
+        """max_permits: names deciding or held; max_repeats: repeated sub-requests answered per name;
+        max_ended, remember_ms: how many ended names are remembered, and for how long."""
+        self.instance, self.max_permits, self.max_repeats = instance, max_permits, max_repeats
+        self.max_ended, self.remember_ms = max_ended, remember_ms
+        self.entries: dict[str, Entry[P, D]] = {}
+        self.ended: OrderedDict[str, None] = OrderedDict()  # names that have ended, oldest first
         self.active = 0  # names deciding or held
-        self.counts = {told.value: 0 for told in Told} | {"again": 0, "joined": 0, "renamed": 0, "lapsed": 0}
+        self.counts = {result.value: 0 for result in ReportResult} | {
+            "again": 0,
+            "joined": 0,
+            "renamed": 0,
+            "lapsed": 0,
+        }
 
     # ---- sub-requests
 
-    def ask(self, name: str, what: Hashable, decision: D, now: float) -> tuple[Ask, Entry[P, D] | None]:
-        """A sub-request under this name."""
-        self.forget(now)
-        entry = self.names.get(name)
+    def begin(
+        self, name: str, identity: Hashable, decision: D, now: float
+    ) -> tuple[SubRequestStep, Entry[P, D] | None]:
+        """Process a sub-request with this name. `identity` distinguishes requests that share a name."""
+        self.expire(now)
+        entry = self.entries.get(name)
         if entry is not None and entry.phase is not Phase.REFUSED:
-            same = entry.what == what and entry.repeats < self.most_repeats
-            if same and entry.phase in (Phase.DECIDING, Phase.HELD):
+            repeatable = entry.identity == identity and entry.repeats < self.max_repeats
+            if repeatable and entry.phase in (Phase.DECIDING, Phase.HELD):
                 entry.repeats += 1
                 joins = entry.phase is Phase.DECIDING
                 self.counts["joined" if joins else "again"] += 1
-                return (Ask.JOIN if joins else Ask.AGAIN), entry
-            # a settled name that permitted again and again would be a way past every quota
+                return (SubRequestStep.JOIN if joins else SubRequestStep.REPLAY), entry
+            # permitting a settled name again, any number of times, would bypass every quota
             self.counts["renamed"] += 1
-            return Ask.OTHER, None
-        if self.active >= self.most:
-            return Ask.FULL, None
+            return SubRequestStep.RENAME, None
+        if self.active >= self.max_permits:
+            return SubRequestStep.LIMIT_REACHED, None
         self.ended.pop(name, None)
-        made: Entry[P, D] = Entry(what, decision=decision)  # calling Entry[P, D] takes four times as long
-        self.names[name] = made
+        created: Entry[P, D] = Entry(identity, decision=decision)  # calling Entry[P, D] is four times slower
+        self.entries[name] = created
         self.active += 1
-        return Ask.NEW, made
+        return SubRequestStep.NEW, created
 
-    def permit(self, name: str, permit: P, until_ms: float) -> Report | None:
-        """The decision: let pass. A report that came before it is given back, to be settled at once."""
-        entry = self.names[name]
+    def grant(self, name: str, permit: P, until_ms: float) -> Report | None:
+        """The request is permitted. Returns a report that came before the decision, to be applied at once."""
+        entry = self.entries[name]
         entry.phase, entry.permit, entry.decision, entry.until_ms = Phase.HELD, permit, None, until_ms
-        early, entry.early = entry.early, None
-        return early
-
-    def refuse(self, name: str, owed: Owed | None, now: float) -> Owed | None:
-        """The decision: not to pass, or none because the asker left. What a report that came before it shows
-        to have passed all the same is given back, to be counted."""
-        entry = self.names[name]
-        entry.owed = owed
-        passed = entry.early is not None and owed is not None
+        early_report, entry.early_report = entry.early_report, None
+        return early_report
+
+    def refuse(self, name: str, unpermitted_use: UnpermittedUse | None, now: float) -> UnpermittedUse | None:
+        """The request is refused, or its asker left before the decision.
+
+        Returns the use if an earlier report shows that the proxy let the request pass, to be counted.
+        """
+        entry = self.entries[name]
+        entry.unpermitted_use = unpermitted_use
+        passed = entry.early_report is not None and unpermitted_use is not None
         self._end(name, entry, Phase.SETTLED if passed else Phase.REFUSED, now)
         if passed:
-            self.counts[Told.CHARGED.value] += 1
-        return owed if passed else None
+            self.counts[ReportResult.CHARGED.value] += 1
+        return unpermitted_use if passed else None
 
     def lapse(self, name: str, until_ms: float, now: float) -> P | None:
-        """The permit that was to lapse at this time, where it is still held: no success, no fault."""
-        entry = self.names.get(name)
+        """End the permit due to lapse at until_ms and return it, if it is still held.
+
+        A lapse counts neither as a success nor as a failure of the server.
+        """
+        entry = self.entries.get(name)
         if entry is None or entry.phase is not Phase.HELD or entry.until_ms != until_ms:
-            return None  # settled meanwhile; the name may have been given anew
+            return None  # already settled; the name may have been used again
         permit = entry.permit
         self._end(name, entry, Phase.LAPSED, now)
         self.counts["lapsed"] += 1
@@ -147,56 +163,56 @@
 
     # ---- reports
 
-    def report(self, report: Report, now: float) -> tuple[Told, P | Owed | None]:
-        """What a report comes to, with the permit to settle or the use to count."""
-        told, gives = self._report(report, now)
-        self.counts[told.value] += 1
-        return told, gives
-
-    def _report(self, report: Report, now: float) -> tuple[Told, P | Owed | None]:
-        if report.instance is not None and report.instance != self.index:
-            return Told.ELSEWHERE, None
-        self.forget(now)
-        entry = self.names.get(report.request)
+    def report(self, report: Report, now: float) -> tuple[ReportResult, P | UnpermittedUse | None]:
+        """Process a report. Returns its result, with the permit to settle or the use to charge."""
+        result, found = self._report(report, now)
+        self.counts[result.value] += 1
+        return result, found
+
+    def _report(self, report: Report, now: float) -> tuple[ReportResult, P | UnpermittedUse | None]:
+        if report.instance is not None and report.instance != self.instance:
+            return ReportResult.OTHER_INSTANCE, None
+        self.expire(now)
+        entry = self.entries.get(report.request)
         if entry is None:
-            return Told.UNKNOWN, None
+            return ReportResult.UNKNOWN, None
         match entry.phase:
             case Phase.DECIDING:
-                if entry.early is not None:
-                    return Told.REPEATED, None
-                entry.early = report
-                return Told.NOTED, None
+                if entry.early_report is not None:
+                    return ReportResult.REPEATED, None
+                entry.early_report = report
+                return ReportResult.NOTED, None
             case Phase.HELD:
                 permit = entry.permit
                 self._end(report.request, entry, Phase.SETTLED, now)
-                return Told.SETTLED, permit
+                return ReportResult.SETTLED, permit
             case Phase.REFUSED:
-                owed = entry.owed
-                entry.phase, entry.owed = Phase.SETTLED, None
-                return (Told.CHARGED, owed) if owed is not None else (Told.NOBODYS, None)
+                use = entry.unpermitted_use
+                entry.phase, entry.unpermitted_use = Phase.SETTLED, None
+                return (ReportResult.CHARGED, use) if use is not None else (ReportResult.UNATTRIBUTED, None)
             case Phase.LAPSED:
                 entry.phase = Phase.SETTLED
-                return Told.LATE, None
-        return Told.REPEATED, None
+                return ReportResult.LATE, None
+        return ReportResult.REPEATED, None
 
-    # ---- memory
+    # ---- ended names
 
     def _end(self, name: str, entry: Entry[P, D], phase: Phase, now: float) -> None:
-        entry.phase, entry.permit, entry.decision, entry.early = phase, None, None, None
+        entry.phase, entry.permit, entry.decision, entry.early_report = phase, None, None, None
         entry.until_ms = now + self.remember_ms
         self.active -= 1
         self.ended[name] = None
-        if len(self.ended) > self.most_ended:
-            del self.names[self.ended.popitem(last=False)[0]]
+        if len(self.ended) > self.max_ended:
+            del self.entries[self.ended.popitem(last=False)[0]]
 
-    def forget(self, now: float) -> None:
-        """Drop what ended long ago; a report that comes then is unknown."""
-        while self.ended and self.names[oldest := next(iter(self.ended))].until_ms <= now:
-            del self.ended[oldest], self.names[oldest]
+    def expire(self, now: float) -> None:
+        """Remove names that ended more than remember_ms ago; later reports of them are unknown."""
+        while self.ended and self.entries[oldest := next(iter(self.ended))].until_ms <= now:
+            del self.ended[oldest], self.entries[oldest]
 
 
-def outcome(report: Report) -> Outcome:
-    """What a report says of the server, as the proxy front reads it."""
+def attempt_outcome(report: Report) -> Outcome:
+    """The outcome of an attempt as reported, by the same rules as in the proxy front."""
     if report.status == 0:
         return Outcome.CONNECT_FAILED if report.never_ran else Outcome.RESET
     if report.status >= 500:
--- a/tamarindfold/forward/reports.py
+++ b/tamarindfold/forward/reports.py
@@ -1,4 +1,4 @@
-"""Reports of what became of permitted requests: a JSON object, or one a line as log shippers send. No I/O."""
+"""Reports on permitted requests: a JSON object, or one per line as log shippers send them. No I/O."""
 
 from __future__ import annotations
 
@@ -8,32 +8,35 @@
 
 from tamarindfold.http1.requests import Rejected
 
-MOST_LINES = 1_000
-MOST_MS = 1e9
+MAX_LINES = 1_000
+MAX_MEASURE = 1e9  # exclusive bound of elapsed_ms and units
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a proxy, or its log shipper, says of a request that it let pass."""
+    """How a permitted request ended, from a proxy or its log shipper."""
 
     request: str
-    status: int  # the server's; 0: it gave no answer
+    status: int  # of the server's response; 0: no response
     elapsed_ms: float
     units: float = 0.0
-    never_ran: bool = False  # nothing was written to the server, or it turned the request away unexamined
-    instance: int | None = None  # which instance permitted it, as the permit's tamarind-instance told
+    never_ran: bool = False  # nothing was written to the server, or it rejected the request unprocessed
+    instance: int | None = None  # the instance that permitted it, from the permit's tamarind-instance header
 
 
 _decoder = msgspec.json.Decoder(Report)
 
 
-def read(body: bytes) -> list[Report]:
-    """The reports of a body; Rejected(400) names the line where one is none, and then none is taken."""
+def parse_reports(body: bytes) -> list[Report]:
+    """The reports of a body.
+
+    Raises Rejected(400), naming the line, if any line is invalid, and Rejected(413) if there are too many.
+    """
     lines = [line for line in body.split(b"\n") if line.strip()]
     if not lines:
         raise Rejected(400, "report: empty")
-    if len(lines) > MOST_LINES:
-        raise Rejected(413, f"report: over {MOST_LINES} lines")
+    if len(lines) > MAX_LINES:
+        raise Rejected(413, f"report: over {MAX_LINES} lines")
     found = []
     for number, line in enumerate(lines, 1):
         try:
@@ -42,7 +45,7 @@
             raise Rejected(400, f"report: line {number}: {error}") from None
         if not (report.status == 0 or 100 <= report.status < 600):
             raise Rejected(400, f"report: line {number}: no such status: {report.status}")
-        if not 0 <= report.elapsed_ms < MOST_MS or not 0 <= report.units < MOST_MS:
+        if not 0 <= report.elapsed_ms < MAX_MEASURE or not 0 <= report.units < MAX_MEASURE:
             raise Rejected(400, f"report: line {number}: elapsed_ms and units are numbers from 0")
         found.append(report)
     return found
--- a/tamarindfold/ingress/admission.py
+++ b/tamarindfold/ingress/admission.py
@@ -120,10 +120,10 @@
     def customer_and_plan(self, claims: Claims, scopes: frozenset[str]) -> tuple[int, int]:
         """Numbers of a token's customer and plan; raises Forbidden if a scope or one of them is missing."""
         self.require_scopes(claims, scopes)
-        customer = claims.named(self.customers.customer_claim)
+        customer = claims.text_claim(self.customers.customer_claim)
         if not customer:
             raise Forbidden("the token names no customer")
-        plan = claims.named(self.customers.plan_claim) or self.customers.default_plan
+        plan = claims.text_claim(self.customers.plan_claim) or self.customers.default_plan
         if plan not in self.plans:
             raise Forbidden("the token names no plan that is known here")
         return customer_number(customer), self.plans[plan]
--- a/tamarindfold/ingress/authentication.py
+++ b/tamarindfold/ingress/authentication.py
@@ -71,7 +71,7 @@
     def authenticate(self, parameters: RequestParameters, give_up_ms: float, peer: str) -> Principal:
         """The owner of a request; raises Unauthorized, Forbidden, VerificationUnavailable or Rejected."""
         try:
-            token = bearer.token(parameters.authorization)
+            token = bearer.parse_authorization(parameters.authorization)
         except bearer.BadCredentials as error:
             raise Unauthorized(400, "invalid_request", str(error)) from None
         if self.identity is not None:
@@ -111,7 +111,7 @@
         self._require_registry(found)
         if isinstance(found, Denied):
             raise Forbidden(found.reason)
-        claimed = claims.named(self.plan_claim)
+        claimed = claims.text_claim(self.plan_claim)
         tables = identity.follower.tables
         if claimed and tables is not None and claimed != tables.plans[found.plan].plan:
             self._log_contradiction(claims.client_id, claimed, tables.plans[found.plan].plan)
--- a/tamarindfold/ingress/forward_auth.py
+++ b/tamarindfold/ingress/forward_auth.py
@@ -17,11 +17,17 @@
 
 from tamarindfold.config.derive import backend_address
 from tamarindfold.config.model import GatewayConfig
-from tamarindfold.forward.addresses import Trust
+from tamarindfold.forward.addresses import TrustedProxies
 from tamarindfold.forward.gate import Gate
-from tamarindfold.forward.original import Names, original
-from tamarindfold.forward.permits import Ask, Owed, Permits, Told, outcome
-from tamarindfold.forward.reports import Report, read
+from tamarindfold.forward.original import OriginalRequestHeaders, parse_original_request
+from tamarindfold.forward.permits import (
+    SubRequestStep,
+    UnpermittedUse,
+    Permits,
+    ReportResult,
+    attempt_outcome,
+)
+from tamarindfold.forward.reports import Report, parse_reports
 from tamarindfold.http1 import write
 from tamarindfold.http1.requests import Headers, Rejected, Request
 from tamarindfold.ingress import headers as names
@@ -36,7 +42,8 @@
 from tamarindfold.interface import Outcome, Why
 
 REPORT = b"/report"
-_REPORT_STATUS = {Told.UNKNOWN: 404, Told.ELSEWHERE: 421}  # 421 Misdirected Request: RFC 9110 15.5.20
+# 421 Misdirected Request: RFC 9110 section 15.5.20
+_REPORT_STATUS = {ReportResult.UNKNOWN: 404, ReportResult.OTHER_INSTANCE: 421}
 _STATUS_DIGITS = slice(9, 12)  # in a rendered response, behind "HTTP/1.1 "
 _RELAYED_STATUSES = (401, 403)  # proxies with auth_request (nginx) treat every other status as an error
 
@@ -74,8 +81,8 @@
         assert section is not None
         super().__init__(config, core, authenticator, timers, clock, log, number, section.connections)
         header_names = section.names
-        self.section, self.trust = section, Trust(section.trusted)
-        self.names = Names.of(
+        self.section, self.trust = section, TrustedProxies(section.trusted)
+        self.names = OriginalRequestHeaders.from_config(
             header_names.method, header_names.uri, header_names.host, section.prefix, section.hosts
         )
         self.name_header = header_names.request.lower().encode()
@@ -91,23 +98,23 @@
         self.name_prefix += b"f"  # the proxy front counts with the same numbers
         self.counts |= {"untrusted": 0, "permits": 0, "bodies_not_come": 0, "pressed": 0, "in_doubt": 0}
 
-    def apply_report(self, report: Report) -> Told:
+    def apply_report(self, report: Report) -> ReportResult:
         """Apply a proxy's report; returns what became of it."""
         result, found = self.permits.report(report, self.clock())
         if isinstance(found, Permit):
             self._settle_permit(found, report)
-        elif isinstance(found, Owed):
+        elif isinstance(found, UnpermittedUse):
             self.charge_unpermitted_use(found)
         return result
 
     def _settle_permit(self, permit: Permit, report: Report) -> None:
-        result = outcome(report)
+        result = attempt_outcome(report)
         served = Served(report.status, [], b"") if result is Outcome.OK else None
         if served is None:  # the proxy has answered its client: there is no further attempt
             self.core.withdraw(permit.attempt.exchange, Failed(False))
         self._end_attempt(permit, result, report.elapsed_ms, served, report.units)
 
-    def charge_unpermitted_use(self, owed: Owed) -> None:
+    def charge_unpermitted_use(self, owed: UnpermittedUse) -> None:
         """Count a request that the proxy let through without a permit."""
         self.core.record_unpermitted_use(owed.customer, owed.plan, owed.units, self.width)
 
@@ -168,8 +175,8 @@
                 raise Rejected(403, "this peer's word is not believed")
             if request.target == REPORT:
                 return self._take_reports(request)
-            original_request = original(request, front.names)
-            client = front.trust.client(self.peer, request.headers)
+            original_request = parse_original_request(request, front.names)
+            client = front.trust.client_address(self.peer, request.headers)
             name = request.get(front.name_header)
             if (wanted := request.get(names.REFUSALS)) is not None:
                 self.refuse_with_403 = wanted == b"as_403"
@@ -186,7 +193,7 @@
         """POST /report: one report, or one a line; if any of them is invalid, 400 and none is applied."""
         if request.method != "POST":
             raise Rejected(405, "reports are posted")
-        results = [self.front.apply_report(report) for report in read(request.body)]
+        results = [self.front.apply_report(report) for report in parse_reports(request.body)]
         counts: dict[str, int] = {}
         for result in results:
             counts[result.value] = counts.get(result.value, 0) + 1
@@ -229,26 +236,26 @@
             else object()
         )
         while True:
-            step, entry = front.permits.ask(name, identity, decision, front.clock())
-            if step is Ask.AGAIN and entry is not None and entry.permit is not None:
+            step, entry = front.permits.begin(name, identity, decision, front.clock())
+            if step is SubRequestStep.REPLAY and entry is not None and entry.permit is not None:
                 return entry.permit.response
-            if step is Ask.JOIN and entry is not None and (first := entry.decision) is not None:
+            if step is SubRequestStep.JOIN and entry is not None and (first := entry.decision) is not None:
                 if first.made.wait(max(0.0, self._decision_deadline_ms(exchange) - front.clock()) / 1000):
                     if first.response is not None:
                         return first.response
                     continue  # the first asker left and nothing was counted: decide it here
                 return self._render_refusal(exchange, Refused(front.section.decide_ms, Why.PRESSURE))
-            if step is Ask.FULL:
+            if step is SubRequestStep.LIMIT_REACHED:
                 front.counts["full"] += 1
                 return self._render_refusal(exchange, Refused(front.section.decide_ms, Why.PRESSURE))
-            if step is Ask.NEW:
+            if step is SubRequestStep.NEW:
                 break
             exchange.name = front.name_prefix + b"%x" % exchange.number
             name = exchange.name.decode()
         try:
             return self._decide(exchange, name, decision)
         except BaseException:  # this greenlet is being killed: those that joined decide for themselves
-            if front.permits.names[name].decision is decision:
+            if front.permits.entries[name].decision is decision:
                 self._conclude_refusal(decision, exchange, name, ClientLeft())
             raise
 
@@ -288,7 +295,7 @@
         """
         front = self.front
         owed = front.permits.refuse(
-            name, Owed(exchange.customer, exchange.plan, exchange.units), front.clock()
+            name, UnpermittedUse(exchange.customer, exchange.plan, exchange.units), front.clock()
         )
         if owed is not None:
             front.charge_unpermitted_use(owed)
@@ -332,7 +339,7 @@
         permit = Permit(attempt, response)
         front.counts["permits"] += 1
         exchange.written += 1
-        early_report = front.permits.permit(name, permit, until)
+        early_report = front.permits.grant(name, permit, until)
         decision.made.set()
         if early_report is not None:
             front.apply_report(early_report)
@@ -350,8 +357,8 @@
         front = self.front
         front.counts["in_doubt"] += 1
         text = name.decode()
-        step, _ = front.permits.ask(text, None, Decision(Event()), front.clock())
-        if step is Ask.NEW:
+        step, _ = front.permits.begin(text, None, Decision(Event()), front.clock())
+        if step is SubRequestStep.NEW:
             front.permits.refuse(text, None, front.clock())
 
     def _send_and_close(self, response: bytes) -> None:
--- a/tamarindfold/ingress/front.py
+++ b/tamarindfold/ingress/front.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from tamarindfold.config.model import GatewayConfig
-from tamarindfold.forward.networks import Networks, Rule
+from tamarindfold.forward.networks import NetworkRules, NetworkRule
 from tamarindfold.http1.requests import Rejected, Request
 from tamarindfold.ingress import headers as names
 from tamarindfold.ingress import responses
@@ -47,7 +47,7 @@
         self.authenticator = authenticator
         self.name_prefix = b"%d-%x-" % (number, int(clock()))  # of request names that the gateway assigns
         self.networks = (
-            Networks((n.network, Rule(n.refuse, n.zone)) for n in config.networks)
+            NetworkRules((n.network, NetworkRule(n.refuse, n.zone)) for n in config.networks)
             if config.networks
             else None
         )
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -339,7 +339,7 @@
             self.last_loop_turn_s = time.monotonic()
             self.core.on_loop_turn()
             if self.forward_front is not None:
-                self.forward_front.gate.felt(self.steady.now() - due)
+                self.forward_front.gate.record_lag(self.steady.now() - due)
 
     def _log_periodic_counts(self) -> None:
         self._log_counts("ingress.counts")
--- a/tamarindfold/introspection/__init__.py
+++ b/tamarindfold/introspection/__init__.py
@@ -1,1 +1,1 @@
-"""OAuth 2.0 token introspection (RFC 7662): what a token says, what may be kept of it, and for how long."""
+"""OAuth 2.0 token introspection (RFC 7662), with caching, request coalescing and a circuit breaker."""
--- a/tamarindfold/introspection/bearer.py
+++ b/tamarindfold/introspection/bearer.py
@@ -1,4 +1,4 @@
-"""Bearer tokens in requests, and the challenges that answer a bad one (RFC 6750)."""
+"""Bearer tokens in requests, and the challenges that reject invalid ones (RFC 6750)."""
 
 from __future__ import annotations
 
@@ -6,28 +6,31 @@
 import re
 
 _B64TOKEN = re.compile(rb"[A-Za-z0-9\-._~+/]+=*")  # RFC 6750 section 2.1
-TOKEN_BYTES = 4096
+MAX_TOKEN_BYTES = 4096
 
 
 class BadCredentials(ValueError):
-    """An Authorization header that is not a bearer token as RFC 6750 writes it."""
+    """A malformed Authorization header of the Bearer scheme."""
 
 
-def token(header: bytes | None) -> bytes | None:
-    """The token of an Authorization header; None where there is none or it is of another scheme."""
+def parse_authorization(header: bytes | None) -> bytes | None:
+    """The bearer token of an Authorization header; None without a header or with another scheme.
+
+    Raises BadCredentials if the token is malformed.
+    """
     if header is None:
         return None
     scheme, _, rest = header.partition(b" ")
     if scheme.lower() != b"bearer":
         return None
     value = rest.strip(b" ")
-    if len(value) > TOKEN_BYTES or not _B64TOKEN.fullmatch(value):
+    if len(value) > MAX_TOKEN_BYTES or not _B64TOKEN.fullmatch(value):
         raise BadCredentials("the bearer token is malformed")
     return value
 
 
 def digest(key: bytes, value: bytes) -> bytes:
-    """What stands for a token in memory and tables: a keyed hash, useless without this process's key."""
+    """A keyed hash that identifies a token in caches; useless without this process's key."""
     return hashlib.blake2b(value, key=key, digest_size=20).digest()
 
 
--- a/tamarindfold/introspection/checker.py
+++ b/tamarindfold/introspection/checker.py
@@ -1,7 +1,8 @@
-"""Decides about tokens: what is known, what is asked, who waits for it and what they are told.
+"""The state machine of token checks: caching, coalescing of look-ups, and a circuit breaker.
 
-No I/O and no clock. Hand it every event and carry out the actions; tokens are named by their digest.
-Times are milliseconds since the epoch, as `exp` counts (RFC 7662 section 2.2).
+It does no I/O and reads no clock: the caller hands in each event with the current time and carries out the
+returned actions in order. Tokens are identified by their digest. Times are milliseconds since the epoch, like
+the `exp` claim (RFC 7662 section 2.2).
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from tamarindfold.introspection.claims import Claims, fault
+from tamarindfold.introspection.claims import Claims, validity_error
 
-REFRESH_AT = 0.8  # of an answer's life: a token still in use is asked about again before the answer ages out
-REFRESH_PART = 0.5  # of the look-ups in flight: what refreshing may take, so that new tokens come first
-SPREAD = 1.0  # of a waiting time: added at random, so that those turned away don't come back together
+REFRESH_AGE_RATIO = 0.8  # of an answer's lifetime, after which a token in use is looked up again
+REFRESH_SHARE = 0.5  # of the look-ups in flight: the limit for refreshes, so that new tokens have precedence
+RETRY_JITTER = 1.0  # of the retry delay: added at random, so that rejected clients do not return together
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The checker's bounds; see `config.model.Introspection` for each."""
+    """The checker's limits; `config.model.Introspection` describes each."""
 
     audience: str = ""
     issuer: str = ""
@@ -41,8 +42,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """A request came with this token; stale_ok: its class takes an aged answer where no new one comes."""
+class CheckRequested:
+    """A request needs this token checked.
+
+    stale_ok: the request's class accepts an expired cached answer if no new one can be had.
+    """
 
     key: bytes
     waiter: int
@@ -50,16 +54,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GaveUp:
-    """A waiter's time is over."""
+class WaiterTimedOut:
+    """A waiter's deadline has passed."""
 
     key: bytes
     waiter: int
 
 
 @dataclass(frozen=True, slots=True)
-class LookedUp:
-    """The server's word on a token: claims, or None for an inactive one."""
+class LookUpSucceeded:
+    """The server's answer about a token: its claims, or None if it is inactive."""
 
     key: bytes
     claims: Claims | None
@@ -67,13 +71,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LookUpFailed:
-    """No word: late, unreachable, an error, or an answer that says nothing."""
+    """No usable answer: a time-out, a connection error, an error status or a malformed answer."""
 
     key: bytes
     reason: str
 
 
-Event = Asked | GaveUp | LookedUp | LookUpFailed
+Event = CheckRequested | WaiterTimedOut | LookUpSucceeded | LookUpFailed
 
 
 # ---- actions
@@ -81,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Active:
-    """The token is good now; stale: by an answer past its age."""
+    """The token is valid now. stale: according to a cached answer that has expired."""
 
     claims: Claims
     stale: bool = False
@@ -89,201 +93,219 @@
 
 @dataclass(frozen=True, slots=True)
 class Inactive:
-    """The token is no good, and why."""
+    """The token is not valid, with the reason."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Nobody could say; coming back after this time is harmless."""
+    """The token could not be checked; the client may retry after the delay."""
 
     reason: str
     retry_after_ms: float
 
 
-Word = Active | Inactive | Unknown
+TokenStatus = Active | Inactive | Unknown
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """The one answer to an Asked."""
+class Notify:
+    """Give a waiter its result; each CheckRequested gets exactly one."""
 
     waiter: int
-    word: Word
+    status: TokenStatus
 
 
 @dataclass(frozen=True, slots=True)
 class LookUp:
-    """Ask the server; one LookedUp or LookUpFailed is owed."""
+    """Query the server; exactly one LookUpSucceeded or LookUpFailed must follow."""
 
     key: bytes
     timeout_ms: float
 
 
-Action = Tell | LookUp
+Action = Notify | LookUp
 
 
 @dataclass(slots=True)
-class _Known:
+class _CachedAnswer:
     claims: Claims | None
-    got_at: float
-    until: float
+    received_at: float
+    expires_at: float
 
 
 @dataclass(slots=True)
-class _Pending:
-    """A look-up in flight or queued; waiters by number, with their stale_ok."""
+class _PendingLookUp:
+    """A look-up in flight or queued. waiters: number to stale_ok."""
 
     waiters: dict[int, bool] = field(default_factory=dict)
     in_flight: bool = False
 
 
 class TokenChecker:
-    """Joins look-ups, keeps answers within their life, and holds back from a server that gives none."""
+    """Coalesces look-ups, caches their answers, and stops asking a server that keeps failing."""
 
     def __init__(self, rules: Rules, seed: int) -> None:
         self.rules, self.random = rules, Random(seed)
-        # two tables, so that a flood of invented tokens cannot push the good ones out
-        self.good: OrderedDict[bytes, _Known] = OrderedDict()
-        self.bad: OrderedDict[bytes, _Known] = OrderedDict()
-        self.pending: dict[bytes, _Pending] = {}
+        # two caches, so that a flood of invented tokens cannot evict valid ones
+        self.active_cache: OrderedDict[bytes, _CachedAnswer] = OrderedDict()
+        self.negative_cache: OrderedDict[bytes, _CachedAnswer] = OrderedDict()
+        self.pending: dict[bytes, _PendingLookUp] = {}
         self.queue: OrderedDict[bytes, None] = OrderedDict()
         self.in_flight = self.waiting = self.failures = 0
-        self.held_until, self.hold_ms = 0.0, 0.0
+        self.open_until, self.open_ms = 0.0, 0.0  # the circuit breaker
         self.counts = dict.fromkeys(
             ("hits", "misses", "joined", "refreshed", "stale", "failed", "turned_away"), 0
         )
         self.actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take in one event; the actions are to be carried out in order."""
+        """Process one event; the actions are to be carried out in order."""
         self.actions = []
         match event:
-            case Asked():
-                self._asked(now, event)
-            case GaveUp():
-                self._gave_up(now, event)
-            case LookedUp():
-                self._looked_up(now, event)
+            case CheckRequested():
+                self._check_requested(now, event)
+            case WaiterTimedOut():
+                self._waiter_timed_out(now, event)
+            case LookUpSucceeded():
+                self._look_up_succeeded(now, event)
             case LookUpFailed():
-                self._failed(now, event)
+                self._look_up_failed(now, event)
         return self.actions
 
-    # ---- what is known
+    # ---- caches
 
-    def _kept(self, now: float, key: bytes) -> _Known | None:
-        """A fresh answer; what ran out is dropped, unless it may still serve stale."""
-        table = self.good if key in self.good else self.bad
-        known = table.get(key)
-        if known is None:
+    def _cached(self, now: float, key: bytes) -> _CachedAnswer | None:
+        """A fresh cached answer. An expired one is evicted, unless it may still be served stale."""
+        cache = self.active_cache if key in self.active_cache else self.negative_cache
+        answer = cache.get(key)
+        if answer is None:
             return None
-        if now < known.until:
-            table.move_to_end(key)
-            return known
-        if known.claims is None or now >= min(known.claims.expires_ms, known.until + self.rules.stale_ms):
-            del table[key]
+        if now < answer.expires_at:
+            cache.move_to_end(key)
+            return answer
+        if answer.claims is None or now >= min(
+            answer.claims.expires_ms, answer.expires_at + self.rules.stale_ms
+        ):
+            del cache[key]
         return None
 
-    def _word(self, now: float, claims: Claims | None) -> Word:
+    def _status(self, now: float, claims: Claims | None) -> TokenStatus:
         rules = self.rules
         if claims is None:
             return Inactive("the token is not active")
-        if reason := fault(claims, now, rules.audience, rules.issuer, rules.leeway_ms):
+        if reason := validity_error(claims, now, rules.audience, rules.issuer, rules.leeway_ms):
             return Inactive(reason)
         return Active(claims)
 
-    def _keep(self, now: float, key: bytes, claims: Claims | None) -> None:
-        """Keep an answer for its life: never past exp, and a no (or a not yet) only shortly."""
-        rules, good = self.rules, isinstance(self._word(now, claims), Active)
-        self.good.pop(key, None)
-        self.bad.pop(key, None)
-        life = rules.max_age_ms if good else rules.negative_age_ms
-        until = now + life
+    def _store(self, now: float, key: bytes, claims: Claims | None) -> None:
+        """Cache an answer, never past `exp`.
+
+        A negative answer is kept for the shorter negative age. If the token is not valid yet, it is kept at
+        most until `nbf` less the leeway.
+        """
+        rules, active = self.rules, isinstance(self._status(now, claims), Active)
+        self.active_cache.pop(key, None)
+        self.negative_cache.pop(key, None)
+        lifetime = rules.max_age_ms if active else rules.negative_age_ms
+        expires_at = now + lifetime
         if claims is not None:
-            until = min(until, claims.expires_ms) if good else until
-            if not good and now < claims.not_before_ms:
-                until = min(until, claims.not_before_ms - rules.leeway_ms)
-        table, most = (self.good, rules.cache_entries) if good else (self.bad, rules.negative_entries)
-        if until > now:
-            table[key] = _Known(claims, now, until)
-            while len(table) > most:
-                table.popitem(last=False)
-
-    # ---- who asks
-
-    def _asked(self, now: float, event: Asked) -> None:
-        known = self._kept(now, event.key)
-        if known is not None:
+            expires_at = min(expires_at, claims.expires_ms) if active else expires_at
+            if not active and now < claims.not_before_ms:
+                expires_at = min(expires_at, claims.not_before_ms - rules.leeway_ms)
+        cache, max_entries = (
+            (self.active_cache, rules.cache_entries)
+            if active
+            else (self.negative_cache, rules.negative_entries)
+        )
+        if expires_at > now:
+            cache[key] = _CachedAnswer(claims, now, expires_at)
+            while len(cache) > max_entries:
+                cache.popitem(last=False)
+
+    # ---- requests
+
+    def _check_requested(self, now: float, event: CheckRequested) -> None:
+        cached = self._cached(now, event.key)
+        if cached is not None:
             self.counts["hits"] += 1
-            self.actions.append(Tell(event.waiter, self._word(now, known.claims)))
-            if known.claims is not None and now > known.got_at + REFRESH_AT * (known.until - known.got_at):
-                self._refresh(now, event.key, known)
+            self.actions.append(Notify(event.waiter, self._status(now, cached.claims)))
+            if cached.claims is not None and now > cached.received_at + REFRESH_AGE_RATIO * (
+                cached.expires_at - cached.received_at
+            ):
+                self._refresh(now, event.key, cached)
             return
         if (pending := self.pending.get(event.key)) is not None and self.waiting < self.rules.most_waiting:
             self.counts["joined"] += 1
             pending.waiters[event.waiter] = event.stale_ok
             self.waiting += 1
             return
-        if now < self.held_until:
-            return self._turn_away(now, event.key, event.waiter, event.stale_ok, "the token check is down")
+        if now < self.open_until:
+            return self._reject(now, event.key, event.waiter, event.stale_ok, "the token check is down")
         if self.waiting >= self.rules.most_waiting:
             reason = "too many wait for a token check"
-            return self._turn_away(now, event.key, event.waiter, event.stale_ok, reason)
+            return self._reject(now, event.key, event.waiter, event.stale_ok, reason)
         self.counts["misses"] += 1
-        self.pending[event.key] = _Pending({event.waiter: event.stale_ok})
+        self.pending[event.key] = _PendingLookUp({event.waiter: event.stale_ok})
         self.waiting += 1
         self.queue[event.key] = None
         self._start()
 
-    def _refresh(self, now: float, key: bytes, known: _Known) -> None:
-        """Ask again ahead of time, where there is room; an answer that can't be renewed past exp is left."""
-        assert known.claims is not None
-        room = self.in_flight < REFRESH_PART * self._most() and not self.queue
-        renewable = now >= self.held_until and known.until < known.claims.expires_ms
-        if room and renewable and key not in self.pending:
+    def _refresh(self, now: float, key: bytes, cached: _CachedAnswer) -> None:
+        """Look a token up before its cached answer expires, if there is capacity.
+
+        An answer that already lasts until `exp` is not refreshed: a new one could not last longer.
+        """
+        assert cached.claims is not None
+        has_capacity = self.in_flight < REFRESH_SHARE * self._max_in_flight() and not self.queue
+        renewable = now >= self.open_until and cached.expires_at < cached.claims.expires_ms
+        if has_capacity and renewable and key not in self.pending:
             self.counts["refreshed"] += 1
-            self.pending[key] = _Pending()
+            self.pending[key] = _PendingLookUp()
             self.queue[key] = None
             self._start()
 
-    def _most(self) -> int:
-        """Look-ups that may be out: after a run of failures one, to see whether the server is back."""
+    def _max_in_flight(self) -> int:
+        """After repeated failures only one look-up at a time, as a trial whether the server has recovered."""
         return 1 if self.failures >= self.rules.trip_after else self.rules.most_in_flight
 
     def _start(self) -> None:
-        while self.queue and self.in_flight < self._most():
+        while self.queue and self.in_flight < self._max_in_flight():
             key, _ = self.queue.popitem(last=False)
             self.pending[key].in_flight = True
             self.in_flight += 1
             self.actions.append(LookUp(key, self.rules.timeout_ms))
 
-    def _turn_away(self, now: float, key: bytes, waiter: int, stale_ok: bool, reason: str) -> None:
-        """No word to be had: an aged yes for classes that take it, else fail closed."""
-        aged = self.good.get(key) if stale_ok else None
-        if aged is not None and now < aged.until + self.rules.stale_ms:
-            word = self._word(now, aged.claims)
-            if isinstance(word, Active):
+    def _reject(self, now: float, key: bytes, waiter: int, stale_ok: bool, reason: str) -> None:
+        """No answer can be had: serve a stale positive one if the class accepts it, else fail closed."""
+        stale = self.active_cache.get(key) if stale_ok else None
+        if stale is not None and now < stale.expires_at + self.rules.stale_ms:
+            status = self._status(now, stale.claims)
+            if isinstance(status, Active):
                 self.counts["stale"] += 1
-                self.actions.append(Tell(waiter, Active(word.claims, True)))
+                self.actions.append(Notify(waiter, Active(status.claims, True)))
                 return
         self.counts["turned_away"] += 1
-        wait = max(self.held_until - now, self.rules.trip_ms)
-        self.actions.append(Tell(waiter, Unknown(reason, wait * (1 + SPREAD * self.random.random()))))
+        delay = max(self.open_until - now, self.rules.trip_ms)
+        self.actions.append(
+            Notify(waiter, Unknown(reason, delay * (1 + RETRY_JITTER * self.random.random())))
+        )
 
-    def _gave_up(self, now: float, event: GaveUp) -> None:
+    def _waiter_timed_out(self, now: float, event: WaiterTimedOut) -> None:
         pending = self.pending.get(event.key)
         if pending is None or event.waiter not in pending.waiters:
-            return  # told in the same moment
+            return  # already notified
         stale_ok = pending.waiters.pop(event.waiter)
         self.waiting -= 1
-        if not pending.waiters and not pending.in_flight:  # nobody is left to ask for
+        if not pending.waiters and not pending.in_flight:  # no one waits for the queued look-up any more
             del self.pending[event.key], self.queue[event.key]
-        self._turn_away(now, event.key, event.waiter, stale_ok, "the token check took too long")
+        self._reject(now, event.key, event.waiter, stale_ok, "the token check took too long")
 
-    # ---- what the server says
+    # ---- results of look-ups
 
-    def _settled(self, key: bytes) -> _Pending | None:
+    def _take_in_flight(self, key: bytes) -> _PendingLookUp | None:
+        """Remove and return the look-up in flight for this token; None if there is none."""
         pending = self.pending.get(key)
         if pending is None or not pending.in_flight:
             return None
@@ -292,33 +314,33 @@
         self.waiting -= len(pending.waiters)
         return pending
 
-    def _looked_up(self, now: float, event: LookedUp) -> None:
-        pending = self._settled(event.key)
+    def _look_up_succeeded(self, now: float, event: LookUpSucceeded) -> None:
+        pending = self._take_in_flight(event.key)
         if pending is None:
             return
-        self.failures, self.hold_ms, self.held_until = 0, 0.0, 0.0
-        self._keep(now, event.key, event.claims)
-        word = self._word(now, event.claims)
-        self.actions += [Tell(waiter, word) for waiter in pending.waiters]
+        self.failures, self.open_ms, self.open_until = 0, 0.0, 0.0
+        self._store(now, event.key, event.claims)
+        status = self._status(now, event.claims)
+        self.actions += [Notify(waiter, status) for waiter in pending.waiters]
         self._start()
 
-    def _failed(self, now: float, event: LookUpFailed) -> None:
-        """A failure is told to those who waited for it; a run of them holds all back for a while."""
-        pending = self._settled(event.key)
+    def _look_up_failed(self, now: float, event: LookUpFailed) -> None:
+        """Reject the waiters of a failed look-up; repeated failures open the circuit breaker for a while."""
+        pending = self._take_in_flight(event.key)
         if pending is None:
             return
         self.counts["failed"] += 1
         self.failures += 1
-        if self.failures >= self.rules.trip_after and now >= self.held_until:
-            self.hold_ms = min(self.rules.trip_most_ms, self.hold_ms * 2 or self.rules.trip_ms)
-            self.held_until = now + self.hold_ms * (0.5 + 0.5 * self.random.random())
+        if self.failures >= self.rules.trip_after and now >= self.open_until:
+            self.open_ms = min(self.rules.trip_most_ms, self.open_ms * 2 or self.rules.trip_ms)
+            self.open_until = now + self.open_ms * (0.5 + 0.5 * self.random.random())
         for waiter, stale_ok in pending.waiters.items():
-            self._turn_away(now, event.key, waiter, stale_ok, event.reason)
-        if now < self.held_until:
-            for key in self.queue:  # nothing more is asked for now: who queues hears it at once
+            self._reject(now, event.key, waiter, stale_ok, event.reason)
+        if now < self.open_until:
+            for key in self.queue:  # no look-up starts while the breaker is open: reject the queue at once
                 queued = self.pending.pop(key)
                 self.waiting -= len(queued.waiters)
                 for waiter, stale_ok in queued.waiters.items():
-                    self._turn_away(now, key, waiter, stale_ok, "the token check is down")
+                    self._reject(now, key, waiter, stale_ok, "the token check is down")
             self.queue.clear()
         self._start()
--- a/tamarindfold/introspection/claims.py
+++ b/tamarindfold/introspection/claims.py
@@ -1,4 +1,4 @@
-"""An introspection answer read into claims, and what they allow (RFC 7662 section 2.2)."""
+"""Parsing of introspection answers, and validation of their claims (RFC 7662 section 2.2)."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class BadAnswer(ValueError):
-    """An answer that says nothing about the token: no JSON object, or a member of the wrong type."""
+    """An invalid introspection answer: not a JSON object, or a member of the wrong type."""
 
 
 @dataclass(frozen=True, slots=True)
 class Claims:
-    """What the authorization server says of an active token. Times are milliseconds since the epoch."""
+    """The claims of an active token. Times are milliseconds since the epoch."""
 
     expires_ms: float = math.inf
     not_before_ms: float = 0.0
@@ -26,8 +26,8 @@
     issuer: str = ""
     extra: tuple[tuple[str, str], ...] = ()
 
-    def named(self, claim: str) -> str:
-        """A claim that is a text or a whole number, as text; empty where there is none."""
+    def text_claim(self, claim: str) -> str:
+        """A string or integer claim as text; empty if there is none."""
         if claim == "sub":
             return self.subject
         if claim == "client_id":
@@ -35,10 +35,10 @@
         return dict(self.extra).get(claim, "")
 
 
-def _text(answer: dict[str, Any], name: str) -> str:
+def _string(answer: dict[str, Any], name: str) -> str:
     value = answer.get(name, "")
     if not isinstance(value, str):
-        raise BadAnswer(f"{name} is not a text")
+        raise BadAnswer(f"{name} is not a string")
     return value
 
 
@@ -51,27 +51,27 @@
     return value * 1000.0
 
 
-def read(body: bytes) -> Claims | None:
-    """The claims of an active token, None of an inactive one; BadAnswer for anything else."""
+def parse_answer(body: bytes) -> Claims | None:
+    """The claims of an active token, or None if it is inactive. Raises BadAnswer if the body is invalid."""
     try:
         answer = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise BadAnswer(f"no JSON: {error}") from None
+        raise BadAnswer(f"invalid JSON: {error}") from None
     if not isinstance(answer, dict):
         raise BadAnswer("not a JSON object")
     active = answer.get("active")
-    if not isinstance(active, bool):  # "true" as a text is not true: nothing is taken for a yes but yes
+    if not isinstance(active, bool):  # the string "true" is not accepted: only the JSON literal counts
         raise BadAnswer("active is neither true nor false")
     if not active:
         return None
-    kind = _text(answer, "token_type")
-    if kind and kind.lower() != "bearer":
+    token_type = _string(answer, "token_type")
+    if token_type and token_type.lower() != "bearer":
         return None
     audiences = answer.get("aud", [])
     if isinstance(audiences, str):
         audiences = [audiences]
     if not isinstance(audiences, list) or not all(isinstance(a, str) for a in audiences):
-        raise BadAnswer("aud is neither a text nor a list of texts")
+        raise BadAnswer("aud is neither a string nor a list of strings")
     extra = tuple(
         (name, str(value))
         for name, value in answer.items()
@@ -80,17 +80,17 @@
     return Claims(
         _time_ms(answer, "exp", math.inf),
         _time_ms(answer, "nbf", 0.0),
-        frozenset(_text(answer, "scope").split()),
-        _text(answer, "client_id"),
-        _text(answer, "sub"),
+        frozenset(_string(answer, "scope").split()),
+        _string(answer, "client_id"),
+        _string(answer, "sub"),
         tuple(audiences),
-        _text(answer, "iss"),
+        _string(answer, "iss"),
         extra,
     )
 
 
-def fault(claims: Claims, now_ms: float, audience: str, issuer: str, leeway_ms: float) -> str:
-    """Why the claims don't make the token good here and now; empty where they do."""
+def validity_error(claims: Claims, now_ms: float, audience: str, issuer: str, leeway_ms: float) -> str:
+    """Why the token is not valid for this gateway at this time; empty if it is valid."""
     if now_ms >= claims.expires_ms:
         return "the token has expired"
     if now_ms + leeway_ms < claims.not_before_ms:
--- a/tamarindfold/introspection/driver.py
+++ b/tamarindfold/introspection/driver.py
@@ -1,4 +1,4 @@
-"""Carries out look-ups over HTTP and lets request greenlets wait for the checker's word."""
+"""Runs token look-ups over HTTP and lets request greenlets wait for the checker's result."""
 
 from __future__ import annotations
 
@@ -17,25 +17,28 @@
 from tamarindfold.introspection.checker import (
     Action,
     Active,
-    Asked,
+    CheckRequested,
     Event,
-    GaveUp,
     Inactive,
-    LookedUp,
     LookUp,
     LookUpFailed,
+    LookUpSucceeded,
+    Notify,
     Rules,
-    Tell,
     TokenChecker,
+    TokenStatus,
     Unknown,
-    Word,
+    WaiterTimedOut,
 )
 
 __all__ = ["Active", "Inactive", "Introspector", "Unknown"]
 
 
 class Introspector:
-    """The token check of one gateway."""
+    """The introspection client of one gateway.
+
+    Many greenlets may call check() at a time. `clock` returns milliseconds since the epoch.
+    """
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
         secret: str,
         rules: Rules,
         connections: int,
-        answer_bytes: int,
+        max_answer_bytes: int,
         seed: int,
         clock: Callable[[], float],
         log: Callable[..., None],
@@ -53,48 +56,51 @@
         self.address = (parts.hostname or "", parts.port or 80)
         self.host = parts.netloc.encode()
         self.target = (parts.path or "/").encode() + (b"?" + parts.query.encode() if parts.query else b"")
-        # RFC 6749 section 2.3.1: both are form-encoded before they are joined
-        pair = f"{quote_plus(client_id)}:{quote_plus(secret)}".encode()
+        # RFC 6749 section 2.3.1: id and secret are form-encoded before they are joined
+        credentials = f"{quote_plus(client_id)}:{quote_plus(secret)}".encode()
         self.headers = [
-            (b"authorization", b"Basic " + base64.b64encode(pair)),
+            (b"authorization", b"Basic " + base64.b64encode(credentials)),
             (b"content-type", b"application/x-www-form-urlencoded"),
             (b"accept", b"application/json"),
         ]
         self.checker = TokenChecker(rules, seed)
         self.clock, self.log = clock, log
-        self.key = os.urandom(32)  # digests mean nothing outside this process
-        self.connections, self.answer_bytes = connections, answer_bytes
-        self.tokens: dict[bytes, bytes] = {}  # in clear only while a look-up needs them
+        self.key = os.urandom(32)  # random, so that digests are useless outside this process
+        self.max_idle, self.max_answer_bytes = connections, max_answer_bytes
+        self.tokens: dict[bytes, bytes] = {}  # plain tokens by digest, kept only while a look-up needs them
         self.waiters: dict[int, AsyncResult] = {}
         self.idle: list[tuple[socket.socket, ResponseReader]] = []
-        self.numbers = 0
-
-    def check(self, token: bytes, give_up_ms: float, stale_ok: bool) -> Word:
-        """The word on a token; waits for it no longer than until give_up_ms."""
-        self.numbers += 1
-        number, digest = self.numbers, bearer.digest(self.key, token)
-        actions = self.checker.handle(self.clock(), Asked(digest, number, stale_ok))
-        if len(actions) == 1 and isinstance(actions[0], Tell):
-            return actions[0].word  # the usual case: known, and nothing else to do
+        self.last_waiter = 0
+
+    def check(self, token: bytes, give_up_ms: float, stale_ok: bool) -> TokenStatus:
+        """Check a token, waiting at most until give_up_ms.
+
+        stale_ok: an expired cached answer is acceptable if no new one can be had.
+        """
+        self.last_waiter += 1
+        number, digest = self.last_waiter, bearer.digest(self.key, token)
+        actions = self.checker.handle(self.clock(), CheckRequested(digest, number, stale_ok))
+        if len(actions) == 1 and isinstance(actions[0], Notify):
+            return actions[0].status  # fast path: answered at once and nothing else to do
         result = self.waiters[number] = AsyncResult()
         self.tokens.setdefault(digest, token)
         self._carry_out(actions)
-        self._forget(digest)
+        self._drop_unused_token(digest)
         try:
             if not result.wait(max(0.0, give_up_ms - self.clock()) / 1000):
-                self._handle(GaveUp(digest, number))
-            word: Word = result.get()
-            return word
+                self._handle(WaiterTimedOut(digest, number))
+            status: TokenStatus = result.get()
+            return status
         finally:
             self.waiters.pop(number, None)
-            self._forget(digest)
+            self._drop_unused_token(digest)
 
     def close(self) -> None:
         """Close the idle connections."""
         while self.idle:
             self.idle.pop()[0].close()
 
-    def _forget(self, digest: bytes) -> None:
+    def _drop_unused_token(self, digest: bytes) -> None:
         if digest not in self.checker.pending:
             self.tokens.pop(digest, None)
 
@@ -103,9 +109,9 @@
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, Notify):
                 if (waiter := self.waiters.get(action.waiter)) is not None:
-                    waiter.set(action.word)
+                    waiter.set(action.status)
             elif isinstance(action, LookUp):
                 gevent.spawn(self._look_up, action)
 
@@ -113,7 +119,7 @@
         event: Event
         try:
             with gevent.Timeout(action.timeout_ms / 1000):
-                event = LookedUp(action.key, claims.read(self._ask(self.tokens[action.key])))
+                event = LookUpSucceeded(action.key, claims.parse_answer(self._query(self.tokens[action.key])))
         except gevent.Timeout:
             event = LookUpFailed(action.key, "the token check took too long")
         except (OSError, BadResponse) as error:
@@ -123,10 +129,13 @@
             event = LookUpFailed(action.key, "the token check made no sense")
             self.log("introspection.failed", reason=str(error))
         self._handle(event)
-        self._forget(action.key)
+        self._drop_unused_token(action.key)
+
+    def _query(self, token: bytes) -> bytes:
+        """Send one introspection request (RFC 7662 section 2.1) and return the body of the answer.
 
-    def _ask(self, token: bytes) -> bytes:
-        """One POST (RFC 7662 section 2.1). Repeatable, so an idle connection found closed costs nothing."""
+        The request is idempotent, so it is sent again if an idle connection turns out to be closed.
+        """
         body = urlencode({"token": token.decode(), "token_type_hint": "access_token"}).encode()
         message = write.request("POST", self.target, self.host, self.headers, body)
         while self.idle:
@@ -138,20 +147,20 @@
                     raise
         sock = socket.create_connection(self.address)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        return self._exchange(sock, ResponseReader(self.answer_bytes), message)
+        return self._exchange(sock, ResponseReader(self.max_answer_bytes), message)
 
     def _exchange(self, sock: socket.socket, reader: ResponseReader, message: bytes) -> bytes:
         reader.begin()
-        kept = False
+        returned_to_pool = False
         try:
             sock.sendall(message)
             reader.read(sock.recv)
             if reader.status != 200:
                 raise BadResponse(f"status {reader.status}")
-            if reader.reusable and not reader.excess and len(self.idle) < self.connections:
+            if reader.reusable and not reader.excess and len(self.idle) < self.max_idle:
                 self.idle.append((sock, reader))
-                kept = True
+                returned_to_pool = True
             return reader.body
         finally:
-            if not kept:
+            if not returned_to_pool:
                 sock.close()
--- a/tamarindfold/rehearsal/load.py
+++ b/tamarindfold/rehearsal/load.py
@@ -8,10 +8,10 @@
 import gevent
 from gevent import socket
 
-from tamarindfold.client.budget import Budget
+from tamarindfold.client.budget import RetryBudget
 from tamarindfold.client.core import (
     Answered,
-    Ask,
+    CallSpec,
     Broken,
     Event,
     Result,
@@ -22,7 +22,7 @@
 )
 from tamarindfold.client.core import Call as Core
 from tamarindfold.client.gateways import Gateways
-from tamarindfold.client.spread import Reconnects
+from tamarindfold.client.jitter import ReconnectSchedule
 from tamarindfold.config.addresses import split_address
 from tamarindfold.config.derive import backend_id
 from tamarindfold.http1 import write
@@ -69,8 +69,8 @@
         self.random = Random(day.seed)
         self.greenlets: list[gevent.Greenlet] = []
         self.gateways: dict[tuple[str, int], Gateways] = {}
-        self.budgets: dict[str, Budget] = {}
-        self.reconnects: dict[str, Reconnects] = {}
+        self.budgets: dict[str, RetryBudget] = {}
+        self.reconnects: dict[str, ReconnectSchedule] = {}
 
     def surge(self, event: DayEvent) -> None:
         """More traffic from now on, for the event's time."""
@@ -144,14 +144,14 @@
         """The library decides; this is its driver. The day's draw says which gateway comes first."""
         facts = call.facts
         gateways = self.gateways.setdefault((call.customer, gateway), self._gateways(call.customer, gateway))
-        budget = self.budgets.setdefault(call.customer, Budget(0.5, 20.0))
+        budget = self.budgets.setdefault(call.customer, RetryBudget(0.5, 20.0))
         reconnects = self.reconnects.setdefault(
             call.customer,
-            Reconnects(
+            ReconnectSchedule(
                 call.customer, SPREAD_MS, 100.0, 5_000.0, Random(f"{self.day.seed}/{call.customer}").random
             ),
         )
-        ask = Ask(facts.effect, call.deadline_ms, facts.window_ms)
+        ask = CallSpec(facts.effect, call.deadline_ms, facts.window_ms)
         rules = Rules(most_tries=self.day.clients.retries + 1)
         core = Core(rules, ask, gateways, budget, reconnects, random.random)
         action = core.start(self.clock())
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client library: its core by examples and by property, its drivers against real gateways."""
+"""The client library: its core by examples and properties, its drivers against real gateways."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from tamarindfold.client import vectors
 from tamarindfold.client.aio import AsyncClient
 from tamarindfold.client.blocking import Client
-from tamarindfold.client.budget import Budget
+from tamarindfold.client.budget import RetryBudget
 from tamarindfold.client.core import (
     Answered,
-    Ask,
     Broken,
     Call,
+    CallSpec,
     NoToken,
     Outcome,
     Result,
@@ -38,10 +38,10 @@
     Woke,
 )
 from tamarindfold.client.gateways import Gateways
-from tamarindfold.client.protocol import MOST_WAIT_MS, NO_WAIT_MS, wait_ms
+from tamarindfold.client.jitter import ReconnectSchedule, hash_position
+from tamarindfold.client.protocol import DEFAULT_WAIT_MS, MAX_WAIT_MS, wait_ms
 from tamarindfold.client.shared import Settings
-from tamarindfold.client.spread import Reconnects, place
-from tamarindfold.client.tokens import Fetch, Hold, Tokens, Use
+from tamarindfold.client.tokens import Fetch, Hold, TokenCache, Use
 from tamarindfold.standins.base import Fault
 
 ROOT = Path(__file__).parent.parent
@@ -62,10 +62,10 @@
     names = [f"g{i}" for i in range(gateways)]
     return Call(
         Rules(tries),
-        Ask(effect, deadline, window if effect == "keyed" else 0.0),
+        CallSpec(effect, deadline, window if effect == "keyed" else 0.0),
         Gateways(names, "me", draw),
-        Budget(0.2, budget),
-        Reconnects("me", spread, 200, 5000, draw),
+        RetryBudget(0.2, budget),
+        ReconnectSchedule("me", spread, 200, 5000, draw),
         draw,
     )
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize(
     "event", [Broken(), Answered(502, FAILED), Answered(504, FAILED), Answered(500), Answered(503)]
 )
-def test_a_switch_that_may_have_run_is_unknown_and_never_sent_again(event) -> None:
+def test_unsafe_call_that_may_have_run_is_unknown_and_not_repeated(event) -> None:
     c = call("unsafe")
     assert isinstance(c.start(0), Send)
     result = c.handle(5, event)
@@ -84,7 +84,7 @@
     assert c.handle(6, Woke()) is result
 
 
-def test_a_switch_that_never_left_goes_to_another_gateway() -> None:
+def test_unsafe_call_that_was_not_sent_goes_to_another_gateway() -> None:
     c = call("unsafe")
     first = c.start(0)
     pause = c.handle(5, Unreached())
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("draw", [0.0, 0.5, 0.999])
-def test_a_refusal_is_obeyed_never_early_and_a_tenth_late_at_most(draw) -> None:
+def test_requested_wait_is_kept_with_at_most_a_tenth_of_jitter(draw) -> None:
     c = call("unsafe", draw=lambda: draw)
     c.start(0)
     pause = c.handle(10, Answered(429, REFUSED))
@@ -102,7 +102,7 @@
     assert again.retry and again.time_left_ms == 10_000 - pause.until_ms
 
 
-def test_a_wait_beyond_the_deadline_ends_the_call_at_once_and_says_when() -> None:
+def test_wait_beyond_the_deadline_ends_the_call_at_once() -> None:
     c = call(deadline=900)
     c.start(0)
     assert c.handle(10, Answered(429, REFUSED)) == Result(
@@ -110,7 +110,7 @@
     )
 
 
-def test_a_keyed_call_is_repeated_within_its_window_only() -> None:
+def test_keyed_call_is_repeated_only_within_its_window() -> None:
     c = call("keyed", window=200)
     c.start(0)
     assert isinstance(c.handle(10, Broken()), Wait)
@@ -126,7 +126,7 @@
     )
 
 
-def test_a_token_that_is_not_taken_is_renewed_once() -> None:
+def test_rejected_token_is_renewed_once() -> None:
     c = call("unsafe")
     assert not c.start(0).fresh_token
     again = c.handle(5, Answered(401, {"tamarind-outcome": "rejected"}))
@@ -134,7 +134,7 @@
     assert c.handle(9, Answered(401, {"tamarind-outcome": "rejected"})).outcome is Outcome.REJECTED
 
 
-def test_a_refusal_while_the_token_ends_leads_to_one_renewal_after_the_wait() -> None:
+def test_token_that_expires_during_a_wait_is_renewed_once() -> None:
     c = call()
     c.start(0)
     pause = c.handle(5, Answered(429, REFUSED))
@@ -144,12 +144,12 @@
     assert send.retry and send.fresh_token
 
 
-def test_a_budget_bounds_repeats_over_calls() -> None:
-    budget, draw = Budget(0.2, 3.0), Random(1).random
-    gateways, reconnects = Gateways(["g"], "me", draw), Reconnects("me", 0, 1, 1, draw)
+def test_retry_budget_limits_retries_over_calls() -> None:
+    budget, draw = RetryBudget(0.2, 3.0), Random(1).random
+    gateways, reconnects = Gateways(["g"], "me", draw), ReconnectSchedule("me", 0, 1, 1, draw)
     tries = 0
     for i in range(50):
-        c = Call(Rules(4), Ask("safe", 1e9), gateways, budget, reconnects, draw)
+        c = Call(Rules(4), CallSpec("safe", 1e9), gateways, budget, reconnects, draw)
         action, now = c.start(i * 1000.0), i * 1000.0
         while not isinstance(action, Result):
             tries += isinstance(action, Send)
@@ -158,16 +158,16 @@
     assert 50 + 10 <= tries <= 50 + 3 + 10
 
 
-def test_a_gateway_that_fails_is_left_and_let_back_by_one_trial() -> None:
+def test_failing_gateway_is_ejected_and_returns_after_one_trial() -> None:
     g = Gateways(["a", "b"], "me", lambda: 0.0)
     first = g.order[0]
     for _ in range(3):
         assert g.choose(0.0) == first
-        g.bad(0.0, first)
+        g.record_failure(0.0, first)
     assert g.choose(1.0) == g.order[1]
     assert g.choose(1001.0) == first  # one trial
-    assert g.choose(1002.0) == g.order[1]  # and no second beside it
-    g.good(first)
+    assert g.choose(1002.0) == g.order[1]  # no second trial at the same time
+    g.record_answer(first)
     assert g.choose(1003.0) == first
 
 
@@ -179,16 +179,16 @@
         ({"retry-after": "Friday, 15-Jan-27 08:00:10 GMT"}, 10_000),
         ({"retry-after": "Fri Jan 15 08:00:10 2027"}, 10_000),
         ({"retry-after": "Fri, 15 Jan 2027 07:00:00 GMT"}, 0),
-        ({"retry-after": "whenever"}, NO_WAIT_MS),
-        ({"retry-after": "1e9"}, NO_WAIT_MS),
-        ({"retry-after": "-1"}, NO_WAIT_MS),
-        ({}, NO_WAIT_MS),
-        ({"retry-after": "9" * 5000}, MOST_WAIT_MS),
-        ({"retry-after": "١٢"}, NO_WAIT_MS),
+        ({"retry-after": "whenever"}, DEFAULT_WAIT_MS),
+        ({"retry-after": "1e9"}, DEFAULT_WAIT_MS),
+        ({"retry-after": "-1"}, DEFAULT_WAIT_MS),
+        ({}, DEFAULT_WAIT_MS),
+        ({"retry-after": "9" * 5000}, MAX_WAIT_MS),
+        ({"retry-after": "١٢"}, DEFAULT_WAIT_MS),
         ({"tamarind-retry-after-ms": "7", "retry-after": "1"}, 7),
     ],
 )
-def test_retry_after_as_a_number_a_date_nonsense_and_huge(headers, wait) -> None:
+def test_retry_after_as_number_date_invalid_and_huge(headers, wait) -> None:
     assert wait_ms(headers, 1_800_000_000_000.0) == wait
 
 
@@ -218,13 +218,13 @@
     st.sampled_from([0.0, 5000.0]),
     st.integers(1, 5),
 )
-def test_whatever_happens_one_try_is_out_and_nothing_is_repeated_that_must_not_be(
-    effect, script, chance, spread, most
+def test_in_any_order_of_events_only_repeatable_tries_are_repeated(
+    effect, script, chance, spread, max_tries
 ) -> None:
-    c = call(effect, deadline=6000.0, window=1500.0, draw=lambda: chance, spread=spread, tries=most)
+    c = call(effect, deadline=6000.0, window=1500.0, draw=lambda: chance, spread=spread, tries=max_tries)
     now, action = 0.0, c.start(0.0)
-    doubt, first, tries, until = False, None, 0, 0.0
-    for event, took in [*script, *[(Broken(), 10_000)] * 40]:
+    may_have_run, first, tries, not_before = False, None, 0, 0.0
+    for event, elapsed in [*script, *[(Broken(), 10_000)] * 40]:
         while isinstance(action, Wait):
             assert now <= action.until_ms < 6000.0
             now = action.until_ms
@@ -233,92 +233,97 @@
             break
         tries += 1
         first = now if first is None else first
-        assert now >= until and now < 6000.0 and tries <= most
-        assert not doubt or effect == "safe" or (effect == "keyed" and now < first + 1500.0)
-        now += took
+        assert now >= not_before and now < 6000.0 and tries <= max_tries
+        assert not may_have_run or effect == "safe" or (effect == "keyed" and now < first + 1500.0)
+        now += elapsed
         if isinstance(event, Answered) and event.headers.get("tamarind-outcome") == "refused":
-            until = now + 1000.0
-        doubt |= isinstance(event, Broken) or (isinstance(event, Answered) and event.status in (500, 502))
+            not_before = now + 1000.0
+        may_have_run |= isinstance(event, Broken) or (
+            isinstance(event, Answered) and event.status in (500, 502)
+        )
         action = c.handle(now, event)
     assert isinstance(action, Result) and action.tries == tries
-    if doubt and effect != "safe" and action.outcome is not Outcome.SERVED:
+    if may_have_run and effect != "safe" and action.outcome is not Outcome.SERVED:
         assert action.outcome is Outcome.UNKNOWN
 
 
 # ---- tokens
 
 
-def test_tokens_are_renewed_ahead_by_one_and_not_used_to_their_last_moment() -> None:
-    t = Tokens(lambda: 0.0)
-    assert t.need(0) == Fetch() and t.need(1) == Hold()
-    t.fetched(10, "a", 100_000)
-    assert t.need(20) == Use("a")
-    assert t.need(80_020) == Use("a", True) and t.need(80_030) == Use("a")
-    t.failed(80_040)
-    assert t.need(80_050) == Use("a")  # not again at once
-    assert t.need(98_020) == Fetch()  # too near to its end to be used
-    t.fetched(98_030, "b", None)
-    t.refused("a")  # an answer to a try of before
-    assert t.need(98_040) == Use("b")
-    t.refused("b")
-    assert t.need(98_050) == Fetch()
-    t.failed(98_060)
-    assert isinstance(t.need(98_061), Hold)
-
-
-# ---- reconnects: 120 gateways restart together, in simulated time
-
-
-def test_clients_come_back_spread_evenly_and_alike_after_each_restart() -> None:
-    def slots(draw) -> list[float]:
-        return [Reconnects(f"till-{i}", 10_000, 200, 30_000, draw).lost(0.0, "g") for i in range(2_000)]
-
-    once, again = slots(Random(1).random), slots(Random(2).random)
-    assert once == again  # the client's own place, whatever the dice say
-    per_100 = [sum(100 * k <= at < 100 * (k + 1) for at in once) for k in range(100)]
-    assert max(per_100) < 60 and min(per_100) > 2  # all at once would be 2000
-    assert 0 <= place("a", "b") < 1
-
-
-def test_losing_many_connections_at_once_counts_once() -> None:
-    r = Reconnects("me", 1000, 200, 5000, lambda: 0.5)
-    at = r.lost(0.0, "g")
-    assert r.lost(1.0, "g") == at
-    later = r.lost(at + 1, "g")
+def test_token_is_renewed_once_before_it_expires() -> None:
+    tokens = TokenCache(lambda: 0.0)
+    assert tokens.need(0) == Fetch() and tokens.need(1) == Hold()
+    tokens.fetched(10, "a", 100_000)
+    assert tokens.need(20) == Use("a")
+    assert tokens.need(80_020) == Use("a", True) and tokens.need(80_030) == Use("a")
+    tokens.failed(80_040)
+    assert tokens.need(80_050) == Use("a")  # no second fetch at once
+    assert tokens.need(98_020) == Fetch()  # too close to its expiry to be used
+    tokens.fetched(98_030, "b", None)
+    tokens.rejected("a")  # the rejection of an earlier try with the old token
+    assert tokens.need(98_040) == Use("b")
+    tokens.rejected("b")
+    assert tokens.need(98_050) == Fetch()
+    tokens.failed(98_060)
+    assert isinstance(tokens.need(98_061), Hold)
+
+
+# ---- reconnects after all gateways restart at once, in simulated time
+
+
+def test_reconnects_are_spread_evenly_and_equally_at_each_restart() -> None:
+    def reconnect_times(draw) -> list[float]:
+        return [
+            ReconnectSchedule(f"till-{i}", 10_000, 200, 30_000, draw).connection_lost(0.0, "g")
+            for i in range(2_000)
+        ]
+
+    first, second = reconnect_times(Random(1).random), reconnect_times(Random(2).random)
+    assert first == second  # the client's own position does not depend on random numbers
+    per_100 = [sum(100 * k <= at < 100 * (k + 1) for at in first) for k in range(100)]
+    assert max(per_100) < 60 and min(per_100) > 2  # without staggering, one slot would have 2000
+    assert 0 <= hash_position("a", "b") < 1
+
+
+def test_connections_lost_at_once_count_as_one_failure() -> None:
+    schedule = ReconnectSchedule("me", 1000, 200, 5000, lambda: 0.5)
+    at = schedule.connection_lost(0.0, "g")
+    assert schedule.connection_lost(1.0, "g") == at
+    later = schedule.connection_lost(at + 1, "g")
     assert later > at + 1
-    r.connected("g")
-    assert r.may_at("g") == 0.0
+    schedule.connected("g")
+    assert schedule.not_before("g") == 0.0
 
 
 # ---- vectors
 
 
-def test_the_vectors_are_what_the_core_does(tmp_path) -> None:
-    for name, data in (("calls", [vectors.make(seed) for seed in range(vectors.LIVES)]),):
-        held = json.loads((ROOT / "clients" / "vectors" / f"{name}.json").read_text())
-        assert held == json.loads(json.dumps(data))
-    for vector in held:
+def test_stored_vectors_match_the_core(tmp_path) -> None:
+    for name, data in (("calls", [vectors.make_vector(seed) for seed in range(vectors.VECTOR_COUNT)]),):
+        stored = json.loads((ROOT / "clients" / "vectors" / f"{name}.json").read_text())
+        assert stored == json.loads(json.dumps(data))
+    for vector in stored:
         draws = iter(vector["draws"])
-        life = vectors.Life(vector["settings"], lambda draws=draws: next(draws))
-        for one in vector["calls"]:
-            made = life.call(one["ask"])
-            for step in one["steps"]:
+        client = vectors.VectorClient(vector["settings"], lambda draws=draws: next(draws))
+        for recorded in vector["calls"]:
+            call = client.call(recorded["ask"])
+            for step in recorded["steps"]:
                 event = step["event"]
                 action = (
-                    made.start(step["now"])
+                    call.start(step["now"])
                     if event is None
-                    else made.handle(step["now"], vectors.event_from(event))
+                    else call.handle(step["now"], vectors.event_from(event))
                 )
                 assert vectors.action_json(action) == step["action"]
     for wait in json.loads((ROOT / "clients" / "vectors" / "waits.json").read_text()):
         assert wait_ms(wait["headers"], wait["wall_ms"]) == wait["wait_ms"]
 
 
-# ---- drivers against a real gateway; they run in threads, as the gateway's loop has this one
+# ---- drivers against a real gateway: they run in threads, because this thread runs the gateway's event loop
 
 
 def in_thread(work):
-    """What a blocking piece of work gives, while the loop here goes on."""
+    """Run a blocking function in a thread while the event loop runs here; returns its result."""
     out: list = []
 
     def run() -> None:
@@ -343,16 +348,16 @@
 
 @pytest.fixture(params=["blocking", "asyncio"])
 def driver(request):
-    """Makes calls with either driver, and says what came of each."""
+    """Makes calls with either driver and returns their replies."""
 
-    def make(client_settings: Settings, *asked: dict) -> list:
+    def make(client_settings: Settings, *calls: dict) -> list:
         def blocking():
             with Client(client_settings) as client:
-                return [client.call(**a) for a in asked]
+                return [client.call(**arguments) for arguments in calls]
 
         async def loop():
             async with AsyncClient(client_settings) as client:
-                return [await client.call(**a) for a in asked]
+                return [await client.call(**arguments) for arguments in calls]
 
         return in_thread(blocking if request.param == "blocking" else lambda: asyncio.run(loop()))
 
@@ -365,20 +370,20 @@
     return {"method": method, "path": path, "effect": effect, "deadline_ms": deadline_ms} | more
 
 
-SWITCH = ask("POST", "/switches", "unsafe", body=b"{}")
+UNSAFE_CALL = ask("POST", "/switches", "unsafe", body=b"{}")
 
 
-def test_a_lost_answer_of_a_switch_is_unknown_and_it_ran_once(rig, driver) -> None:
+def test_unsafe_call_with_lost_answer_is_unknown_and_ran_once(rig, driver) -> None:
     r = rig(servers=3)
     for server in r.servers:
         server.inject(Fault(kind="reset_after_run"))
-    replies = driver(Settings([url(r.address)], token="good"), SWITCH, SWITCH, ask())
+    replies = driver(Settings([url(r.address)], token="good"), UNSAFE_CALL, UNSAFE_CALL, ask())
     assert [x.result.outcome for x in replies[:2]] == [Outcome.UNKNOWN] * 2
     assert len([e for e in r.entries("ran") if e["try"].endswith(("-1.0", "-2.0"))]) == 2
     assert sum(e["cls"] == "switch" for e in r.entries("received")) == 2
 
 
-def test_a_refusal_is_waited_out_and_the_retry_is_marked(rig, driver) -> None:
+def test_refused_call_waits_and_marks_its_retry(rig, driver) -> None:
     from rig import PLANS
 
     seen = []
@@ -393,58 +398,58 @@
     assert b"1" in seen and sum(x.result.tries for x in replies) == len(seen)
 
 
-def test_a_token_is_fetched_renewed_after_401_and_sent_again(rig, driver) -> None:
+def test_token_is_fetched_and_renewed_after_401(rig, driver) -> None:
     r = rig()
-    given = []
+    token_requests = []
 
     def tokens(sock, _peer) -> None:
         from tamarindfold.http1 import write
         from tamarindfold.standins.base import serve_http
 
-        def one(sock, request, _first) -> None:
-            given.append(request.body)
+        def answer_token_request(sock, request, _first) -> None:
+            token_requests.append(request.body)
             body = b'{"access_token":"%s","token_type":"Bearer","expires_in":600}' % (
-                b"old" if len(given) == 1 else b"good"
+                b"old" if len(token_requests) == 1 else b"good"
             )
             sock.sendall(write.response(200, [(b"content-type", b"application/json")], body))
 
-        serve_http(sock, r.ingress.steady.now, one)
+        serve_http(sock, r.ingress.steady.now, answer_token_request)
 
     server = StreamServer(("127.0.0.1", 0), tokens)
     server.start()
-    made = Settings(
+    client_settings = Settings(
         [url(r.address)],
         token_url=f"http://127.0.0.1:{server.server_port}/token",
         client_id="till",
         client_secret="s",
         scope="switch",
     )
-    replies = driver(made, SWITCH, SWITCH)
+    replies = driver(client_settings, UNSAFE_CALL, UNSAFE_CALL)
     server.stop()
     assert [(x.result.outcome, x.result.tries) for x in replies] == [(Outcome.SERVED, 2), (Outcome.SERVED, 1)]
-    assert given == [b"grant_type=client_credentials&scope=switch"] * 2
+    assert token_requests == [b"grant_type=client_credentials&scope=switch"] * 2
 
 
-def test_nobody_there_is_failed_and_said_so_for_a_switch_too(driver) -> None:
+def test_unsafe_call_fails_if_no_gateway_is_reachable(driver) -> None:
     sock = socket.socket()
-    sock.bind(("127.0.0.1", 0))  # bound and not listening: refused at once
+    sock.bind(("127.0.0.1", 0))  # bound but not listening: connections are refused at once
     (reply,) = driver(
-        Settings([url(sock.getsockname())], token="good", spread_ms=0.0), SWITCH | {"deadline_ms": 500.0}
+        Settings([url(sock.getsockname())], token="good", spread_ms=0.0), UNSAFE_CALL | {"deadline_ms": 500.0}
     )
     sock.close()
     assert reply.result.outcome is Outcome.FAILED and "reached" in reply.result.reason
 
 
-def answering(data: bytes, close: bool = True) -> StreamServer:
-    """A gateway that reads a request and answers these bytes."""
+def start_raw_server(data: bytes, close: bool = True) -> StreamServer:
+    """Start a server that reads a request and answers with these bytes."""
 
-    def one(sock, _peer) -> None:
+    def handle(sock, _peer) -> None:
         sock.recv(65536)
         sock.sendall(data)
         if not close:
             gevent.sleep(30)
 
-    server = StreamServer(("127.0.0.1", 0), one)
+    server = StreamServer(("127.0.0.1", 0), handle)
     server.start()
     return server
 
@@ -458,55 +463,56 @@
         b"garbage\r\n\r\n",
     ],
 )
-def test_half_an_answer_to_a_switch_is_unknown(driver, data) -> None:
-    server = answering(data)
-    (reply,) = driver(Settings([f"http://127.0.0.1:{server.server_port}"], token="good"), SWITCH)
+def test_incomplete_answer_to_an_unsafe_call_is_unknown(driver, data) -> None:
+    server = start_raw_server(data)
+    (reply,) = driver(Settings([f"http://127.0.0.1:{server.server_port}"], token="good"), UNSAFE_CALL)
     server.stop()
     assert (reply.result.outcome, reply.result.tries) == (Outcome.UNKNOWN, 1)
 
 
-def test_an_answer_that_trickles_past_the_deadline_is_cut_off(driver) -> None:
-    def one(sock, _peer) -> None:
+def test_slow_answer_is_aborted_at_the_deadline(driver) -> None:
+    def handle(sock, _peer) -> None:
         sock.recv(65536)
         sock.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: 5000\r\n\r\n")
         for _ in range(5000):
             sock.sendall(b"x")
             gevent.sleep(0.02)
 
-    server = StreamServer(("127.0.0.1", 0), one)
+    server = StreamServer(("127.0.0.1", 0), handle)
     server.start()
     (reply,) = driver(
-        Settings([f"http://127.0.0.1:{server.server_port}"], token="good"), SWITCH | {"deadline_ms": 300.0}
+        Settings([f"http://127.0.0.1:{server.server_port}"], token="good"),
+        UNSAFE_CALL | {"deadline_ms": 300.0},
     )
     server.stop()
     assert reply.result.outcome is Outcome.UNKNOWN
 
 
-def test_a_gateway_that_closes_idle_connections_puts_no_switch_in_doubt(rig, driver, monkeypatch) -> None:
+def test_idle_connections_closed_by_the_gateway_do_not_affect_unsafe_calls(rig, driver, monkeypatch) -> None:
     from tamarindfold.ingress.front import ClientConnection
 
     read = ClientConnection._read_request
 
-    def once(connection):
-        """Closes after one answer, without a word of it."""
+    def read_one(connection):
+        """Close the connection after one answer, without announcing it."""
         if getattr(connection, "answered", False):
             return None
         connection.answered = True
         return read(connection)
 
-    monkeypatch.setattr(ClientConnection, "_read_request", once)
+    monkeypatch.setattr(ClientConnection, "_read_request", read_one)
     r = rig()
-    replies = driver(Settings([url(r.address)], token="good"), *[SWITCH] * 8)
+    replies = driver(Settings([url(r.address)], token="good"), *[UNSAFE_CALL] * 8)
     assert {x.result.outcome for x in replies} == {Outcome.SERVED}
 
 
-def test_a_client_closed_with_calls_under_way(rig) -> None:
+def test_client_closed_with_calls_in_flight(rig) -> None:
     r = rig(server={"default_work_ms": 300.0, "sigma": 0.0})
     client = Client(Settings([url(r.address)], token="good"))
     out: list = []
     threads = [
         threading.Thread(target=lambda a=a: out.append(client.call(**a)), daemon=True)
-        for a in (SWITCH, ask())
+        for a in (UNSAFE_CALL, ask())
     ]
     for thread in threads:
         thread.start()
@@ -517,15 +523,15 @@
     assert all(x.result.outcome is not Outcome.FAILED or x.result.tries == 1 for x in out)
 
 
-def test_a_wall_clock_that_is_set_leaves_deadlines_alone(rig, driver, monkeypatch) -> None:
+def test_wall_clock_change_does_not_affect_deadlines(rig, driver, monkeypatch) -> None:
     r = rig()
     real = time.time
     monkeypatch.setattr("tamarindfold.client.shared.time.time", lambda: real() - 86_400 * 365)
-    (reply,) = driver(Settings([url(r.address)], token="good"), SWITCH)
+    (reply,) = driver(Settings([url(r.address)], token="good"), UNSAFE_CALL)
     assert reply.result.outcome is Outcome.SERVED
 
 
-def test_a_keyed_call_needs_a_key_and_settings_are_checked() -> None:
+def test_keyed_call_without_key_and_invalid_settings_are_rejected() -> None:
     with (
         Client(Settings(["http://127.0.0.1:1"], token="x")) as client,
         pytest.raises(ValueError, match="key"),
@@ -541,7 +547,7 @@
             Settings(**({"gateways": ["http://x"], "token": "t"} | bad))
 
 
-def test_the_core_needs_no_library() -> None:
+def test_core_needs_only_the_standard_library() -> None:
     code = (
         "import sys; sys.modules.update(dict.fromkeys(['gevent','httptools','msgspec','yaml','click','httpx'], None));"
         "import tamarindfold.client, tamarindfold.client.tokens, tamarindfold.client.protocol"
@@ -550,7 +556,7 @@
 
 
 @pytest.mark.parametrize("name", ["till", "batch", "refusal"])
-def test_the_examples_run(rig, name) -> None:
+def test_examples_run(rig, name) -> None:
     r = rig()
     done = in_thread(
         lambda: subprocess.run(
@@ -570,7 +576,7 @@
     assert {"till": "switch: served", "batch": "served", "refusal": "come back"}[name] in done.stdout
 
 
-def test_the_call_command(rig, tmp_path) -> None:
+def test_call_command(rig, tmp_path) -> None:
     r = rig()
 
     def run(*words):
@@ -612,7 +618,7 @@
         assert run(*bad).returncode == 2
 
 
-def test_a_slot_for_reconnecting_does_not_carry_a_keyed_call_out_of_its_window() -> None:
+def test_wait_to_reconnect_does_not_take_a_keyed_call_out_of_its_window() -> None:
     c = call("keyed", deadline=6000.0, window=1500.0, draw=lambda: 0.0, spread=5000.0, tries=3)
     action, now, sent = c.start(0.0), 0.0, []
     events = iter([Unreached(), Broken()])
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -36,13 +36,17 @@
     [
         ("addresses", "parse_address", deaf),
         ("messages", "RequestReader", Joining),
-        ("originals", "original", lambda asked, names: Request("GET", b"/else")),
+        ("originals", "parse_original_request", lambda asked, names: Request("GET", b"/else")),
         (
             "tokens",
             "bearer",
-            type("B", (), {"token": staticmethod(lambda v: v.strip()), "BadCredentials": ValueError}),
+            type(
+                "B",
+                (),
+                {"parse_authorization": staticmethod(lambda v: v.strip()), "BadCredentials": ValueError},
+            ),
         ),
-        ("reports", "read", lambda body: 1 / 0),
+        ("reports", "parse_reports", lambda body: 1 / 0),
         ("chains", "NETWORKS", []),
     ],
 )
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -220,7 +220,7 @@
 def test_a_report_for_another_instance_settles_nothing(proxied) -> None:
     other = proxied()
     p = proxied("traefik", "report_elsewhere", instance={"index": 0, "gateways": 2}, config={"gateways": []})
-    other.r.ingress.forward_front.permits.index = 1
+    other.r.ingress.forward_front.permits.instance = 1
     p.proxy.gateways = [p.gateway, other.gateway]
     p.proxy.turn = 1  # so that the first is asked, and the second told
     assert p.ask().status == 200
@@ -401,7 +401,7 @@
 
 def test_a_pressed_front_turns_the_least_worth_away_unchecked(proxied) -> None:
     p = proxied(forward={"most_deciding": 4})
-    p.r.ingress.forward_front.gate.taken = 3
+    p.r.ingress.forward_front.gate.deciding = 3
     looked = p.r.ingress.introspector.checker.counts.copy()
     assert p.ask().status == 503
     assert p.r.ingress.introspector.checker.counts == looked  # nothing costly was done
