--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -160,28 +160,30 @@
     sim = SimulatedFleet(instances, 3, 1, (0.2, 2.0), 0.3, 1.0)
     sim.run(lambda: any(k.leads for k in sim.keepers), 5_000)
     sim.propose(1, document(8.0))
-    sim.run(lambda: sim.acting == instances, 30_000)
+    sim.run(lambda: sim.leased_count == instances, 30_000)
     acting_ms, spread, took = sim.now, [], []
     for version in range(2, changes + 2):
         began = sim.now
         sim.propose(version, document(6.0 + version % 3))
-        sim.run(lambda v=version: len(sim.taken.get(v, ())) == instances, 20_000)  # type: ignore[misc]
-        spread.append(max(sim.taken[version]) - min(sim.taken[version]))
+        sim.run(lambda v=version: len(sim.applied_at.get(v, ())) == instances, 20_000)  # type: ignore[misc]
+        spread.append(max(sim.applied_at[version]) - min(sim.applied_at[version]))
         took.append(sim.now - began)
-        sim.weigh()
-    sim.cut = set(range(0, instances, 10))  # a tenth reaches no keeper any more, and a version is changed
+        sim.check_total_share()
+    sim.partitioned = set(
+        range(0, instances, 10)
+    )  # a tenth reaches no keeper any more, and a version is changed
     sim.propose(changes + 2, document(9.0))
     for _ in range(60):
         sim.run(lambda: False, 200.0)
-        sim.weigh()
-    sim.cut = set()
-    sim.run(lambda: sim.acting == instances, 30_000)
-    sim.weigh()
+        sim.check_total_share()
+    sim.partitioned = set()
+    sim.run(lambda: sim.leased_count == instances, 30_000)
+    sim.check_total_share()
     return {
         "all_acting_ms": acting_ms,
         "spread_ms_max": max(spread),
         "in_force_ms_max": max(took),
-        "sum_over_whole_max": round(sim.over_whole, 9),
+        "sum_over_whole_max": round(sim.max_excess_share, 9),
     }
 
 
--- a/tamarindfold/keeper/__init__.py
+++ b/tamarindfold/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The program that keeps the agreed log: one of three or five processes."""
+"""The keeper process: one of the three or five replicas of the log that holds the fleet's settings."""
--- a/tamarindfold/keeper/disk.py
+++ b/tamarindfold/keeper/disk.py
@@ -1,4 +1,7 @@
-"""A keeper's folder: one file of frames, each a Save, synced before anything that relies on it is said."""
+"""A keeper's durable storage: one append-only file of frames, each holding one Save record.
+
+A record is synced to disk before the keeper sends any message that relies on it.
+"""
 
 from __future__ import annotations
 
@@ -16,29 +19,35 @@
 _decoder = msgspec.msgpack.Decoder(Save)
 
 
-class DiskFailed(OSError):
-    """What was to be on disk is not: nothing that relies on it may be said."""
+class DiskWriteError(OSError):
+    """A record could not be made durable: no message that relies on it may be sent."""
 
 
 class LogFile:
-    """The file, open for what is added."""
+    """The log file of one keeper, opened for appending by `load`."""
+
+    def __init__(self, folder: Path, max_bytes: int) -> None:
+        """Create the folder if necessary; OSError if that fails.
 
-    def __init__(self, folder: Path, most_bytes: int) -> None:
-        """OSError where the folder can't be used."""
+        `max_bytes` is the size beyond which the next write compacts the file into one snapshot.
+        """
         folder.mkdir(parents=True, exist_ok=True)
-        self.path, self.most_bytes = folder / "keeper.log", most_bytes
+        self.path, self.max_bytes = folder / "keeper.log", max_bytes
         self.descriptor = -1
         self.size = 0
-        self.saves = self.replaced = 0
+        self.saves = self.compactions = 0
 
     def load(self) -> tuple[DurableState, int]:
-        """What is there, and how many bytes at its end are no whole frame; those are cut off."""
+        """Read the file, truncate it after its last valid record, and open it for appending.
+
+        Returns the recovered state and the number of bytes that were cut off.
+        """
         data = self.path.read_bytes() if self.path.exists() else b""
-        disk, good = DurableState(entries=[]), 0
+        disk, valid_bytes = DurableState(entries=[]), 0
         state: State | None = None
         entries: list[Entry] = []
         for offset, body in decode_frames(data):
-            good = offset
+            valid_bytes = offset
             if body is None:
                 break
             try:
@@ -49,18 +58,22 @@
                 break
             entries += save.chosen
             disk.promised, disk.vote = save.promised, save.vote
-            good = offset + len(encode_frame(body))
+            valid_bytes = offset + len(encode_frame(body))
         disk.state, disk.entries = state, entries
         self.descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o644)
-        os.ftruncate(self.descriptor, good)
-        self.size = good
-        return disk, len(data) - good
+        os.ftruncate(self.descriptor, valid_bytes)
+        self.size = valid_bytes
+        return disk, len(data) - valid_bytes
 
     def write(self, save: Save, state: State) -> None:
-        """Bring it to the disk; state: all that is chosen by now. DiskFailed where that can't be done."""
+        """Append a record and sync it; DiskWriteError on failure.
+
+        `state` is the result of all chosen entries, including those of `save`. It is written as a snapshot if
+        the file has grown beyond `max_bytes`.
+        """
         try:
-            if self.size > self.most_bytes:
-                self._begin_anew(save, state)
+            if self.size > self.max_bytes:
+                self._compact(save, state)
             else:
                 data = encode_frame(_encoder.encode(save))
                 view = memoryview(data)
@@ -69,18 +82,19 @@
                 os.fdatasync(self.descriptor)
                 self.size += len(data)
         except OSError as error:
-            raise DiskFailed(error.errno, error.strerror) from error
+            raise DiskWriteError(error.errno, error.strerror) from error
         self.saves += 1
 
-    def _begin_anew(self, save: Save, state: State) -> None:
-        whole = Save(save.promised, save.vote, (), encode(state))
-        self.size = replace_file(self.path, [encode_frame(_encoder.encode(whole))])
+    def _compact(self, save: Save, state: State) -> None:
+        """Atomically replace the file by a new one that holds a single snapshot record."""
+        snapshot = Save(save.promised, save.vote, (), encode(state))
+        self.size = replace_file(self.path, [encode_frame(_encoder.encode(snapshot))])
         os.close(self.descriptor)
         self.descriptor = os.open(self.path, os.O_RDWR | os.O_APPEND)
-        self.replaced += 1
+        self.compactions += 1
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the file; does nothing if it is not open."""
         if self.descriptor >= 0:
             os.close(self.descriptor)
             self.descriptor = -1
--- a/tamarindfold/keeper/server.py
+++ b/tamarindfold/keeper/server.py
@@ -1,4 +1,9 @@
-"""One keeper on its sockets: what others say goes to the consensus object, what that says goes out."""
+"""The keeper's network server: connects the consensus state machine to sockets, the clock and the disk.
+
+Peers, instances and operators send POST requests. Each event is passed to the state machine
+(`agreement.consensus`), and the actions that it returns are carried out in order: write to disk, send to a
+peer, report the outcome of a proposal.
+"""
 
 from __future__ import annotations
 
@@ -44,79 +49,90 @@
 from tamarindfold.http1.serve import serve
 from tamarindfold.identity.files import signing_key
 from tamarindfold.keeper.config import KeeperConfig
-from tamarindfold.keeper.disk import DiskFailed, LogFile
+from tamarindfold.keeper.disk import DiskWriteError, LogFile
 from tamarindfold.links.link import Link
 
 TICK_S = 0.01
-STILL_MS = 250.0  # the loop did not turn for so long: what was heard before tells nothing of who is alive
-TELL_EVERY_S = 10.0
-DISK_AGAIN_S = 0.5  # after a disk that failed, the keeper begins anew from it, and is silent until it can
-LEAST_PAUSE_S, MOST_PAUSE_S = 0.02, 0.5
-CONNECT_S, ANSWER_S = 1.0, 1.0
-IDLE_S = 60.0  # a connection on which nobody asks for so long ends: its other end may be gone without a word
+# After a longer stall of the event loop, silence of an instance no longer indicates that it is lost.
+STALL_THRESHOLD_MS = 250.0
+STATS_INTERVAL_S = 10.0
+DISK_RETRY_S = 0.5  # between attempts to recover from a disk failure
+MIN_RECONNECT_S = 0.02
+MAX_RECONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 1.0
+REPLY_TIMEOUT_S = 1.0
+IDLE_TIMEOUT_S = 60.0  # the peer of an idle connection may have vanished without closing it
 
 
 def now_ms() -> float:
-    """The keeper's clock: monotonic."""
+    """The keeper's monotonic clock."""
     return time.monotonic() * 1000
 
 
 class PeerLink:
-    """What is said to one other keeper, in order, a batch at a time; what does not arrive is lost."""
+    """The outgoing connection to one other keeper.
+
+    Messages are sent in order, in batches. Delivery is not guaranteed: messages are dropped if the queue is
+    full or the connection is lost.
+    """
 
     def __init__(self, keeper: KeeperServer, number: int, address: str) -> None:
         self.keeper, self.number = keeper, number
         self.queue: deque[KeeperMessage] = deque(maxlen=keeper.config.most_queued)
-        self.more = Event()
+        self.message_queued = Event()
         self.link = Link(
             split_address(address, f"keepers[{number}]"),
-            CONNECT_S,
-            Backoff(LEAST_PAUSE_S, MOST_PAUSE_S),
+            CONNECT_TIMEOUT_S,
+            Backoff(MIN_RECONNECT_S, MAX_RECONNECT_S),
             keeper.config.source_address,
         )
-        self.dropped = self.lost = 0
+        self.dropped = self.disconnects = 0
 
-    def say(self, what: KeeperMessage) -> None:
-        """Send it with the next batch."""
+    def enqueue(self, message: KeeperMessage) -> None:
+        """Queue a message for the next batch."""
         if len(self.queue) == self.queue.maxlen:
             self.dropped += 1
-        if isinstance(what, Heartbeat | HeartbeatReply):  # an older one says nothing that this does not
-            for i, waiting in enumerate(self.queue):
-                if type(waiting) is type(what):
+        # a newer heartbeat or reply supersedes a queued one
+        if isinstance(message, Heartbeat | HeartbeatReply):
+            for i, queued in enumerate(self.queue):
+                if type(queued) is type(message):
                     del self.queue[i]
                     break
-        self.queue.append(what)
-        self.more.set()
+        self.queue.append(message)
+        self.message_queued.set()
+
+    def _attach_reports(self, message: KeeperMessage) -> KeeperMessage:
+        """Add the instances' reports to a heartbeat reply.
 
-    def _with_news(self, what: KeeperMessage) -> KeeperMessage:
-        """What instances said goes with the answer to a beat as it leaves: none is replaced unsent."""
+        This happens only when the message is sent, so that no report is lost with a superseded message.
+        """
         return (
-            replace(what, reports=self.keeper.reports.take_unsent(now_ms()))
-            if isinstance(what, HeartbeatReply)
-            else what
+            replace(message, reports=self.keeper.reports.take_unsent(now_ms()))
+            if isinstance(message, HeartbeatReply)
+            else message
         )
 
     def run(self) -> None:
-        """For ever."""
-        self.link.maintain(self._talk, self._lost)
+        """Keep the connection up and send what is queued, forever."""
+        self.link.maintain(self._send_batches, self._on_disconnect)
 
-    def _lost(self, reason: Exception | None) -> None:
-        self.lost += 1
-        self.queue.clear()  # old by the time that there is a link again
+    def _on_disconnect(self, reason: Exception | None) -> None:
+        self.disconnects += 1
+        self.queue.clear()  # outdated by the time of the next connection
 
-    def _talk(self, sock: socket.socket) -> None:
-        sock.settimeout(ANSWER_S)
+    def _send_batches(self, sock: socket.socket) -> None:
+        sock.settimeout(REPLY_TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         reader = ResponseReader(1 << 16)
         host = "{}:{}".format(*self.link.address)
         while True:
-            self.more.wait()
-            self.more.clear()
+            self.message_queued.wait()
+            self.message_queued.clear()
             if not self.queue:
                 continue
-            said = tuple(map(self._with_news, self.queue))
+            messages = tuple(map(self._attach_reports, self.queue))
             self.queue.clear()
-            body = wire.pack(wire.MessageBatch(self.keeper.core.me, said), self.keeper.key, "keeper")
+            body = wire.pack(wire.MessageBatch(self.keeper.core.me, messages), self.keeper.key, "keeper")
             status, _ = send_request(sock, reader, "POST", "/v1/keeper", host, body)
             if status != 204:
                 raise ValueError(f"keeper {self.number} answered {status}")
@@ -124,24 +140,29 @@
 
 
 class KeeperServer:
-    """A running keeper."""
+    """One keeper process: the consensus state machine with its disk, peers, clients and timers."""
 
     def __init__(self, config: KeeperConfig, log: Callable[..., None], trusted: bool = False) -> None:
-        """OSError or ValueError where its folder or its key can't be used."""
+        """Load key, initial settings and log file; OSError or ValueError if one of them can't be used.
+
+        `trusted`: vote by this disk at once, without asking all other keepers first.
+        """
         self.config, self.log = config, log
         self.key = signing_key(Path(config.key))
-        self.first = load(Path(config.first_settings), Document, check) if config.first_settings else None
+        self.initial_settings = (
+            load(Path(config.first_settings), Document, check) if config.first_settings else None
+        )
         self.public = self.key.public_key()
         self.disk = LogFile(Path(config.state_dir), config.log_bytes)
-        self.core = self._begin(trusted)
+        self.core = self._load_core(trusted)
         self.reports = Reports()
-        self.steward = Reconciler(self.reports)
-        self.changed = Event()
-        self.tickets: dict[int, AsyncResult] = {}
-        self.ticket = 0
-        self.broken = False  # the disk failed: nothing is said until the keeper has begun anew
-        self.led = False
-        self.stewards_ticket = 0
+        self.reconciler = Reconciler(self.reports)
+        self.state_changed = Event()
+        self.waiters: dict[int, AsyncResult] = {}
+        self.last_ticket = 0
+        self.disk_failed = False  # after a disk failure: nothing is sent until the keeper has recovered
+        self.was_leader = False
+        self.reconciler_ticket = 0
         port = split_address(config.keepers[config.me], "keepers")[1]
         self.server = StreamServer(
             (config.host, config.port or port), self._serve, backlog=1024, spawn=Pool(config.connections)
@@ -151,31 +172,31 @@
         }
         self.greenlets: list[gevent.Greenlet] = []
         self.handlers: dict[bytes, Callable[[bytes], tuple[int, bytes]]] = {
-            b"/v1/keeper": self._heard,
-            b"/v1/renew": self._renew,
-            b"/v1/propose": self._propose,
-            b"/v1/command": self._command,
-            b"/v1/look": self._look,
+            b"/v1/keeper": self._handle_batch,
+            b"/v1/renew": self._handle_renew,
+            b"/v1/propose": self._handle_propose,
+            b"/v1/command": self._handle_command,
+            b"/v1/look": self._handle_status,
         }
         self.counts = dict.fromkeys(
             ("renewals", "proposals", "refused", "bad", "disk_failed", "stalls", "elected"), 0
         )
 
-    def _begin(self, trusted: bool) -> Keeper:
-        found, torn = self.disk.load()
-        if torn:
-            self.log("keeper.log_cut", bytes=torn)
-        # another nonce in each life: answers to an earlier one prove nothing
+    def _load_core(self, trusted: bool) -> Keeper:
+        recovered, truncated_bytes = self.disk.load()
+        if truncated_bytes:
+            self.log("keeper.log_cut", bytes=truncated_bytes)
+        # a new nonce in each incarnation, so that replies to an earlier one are not accepted as current
         return Keeper(
-            self.config.me, len(self.config.keepers), found, secrets.randbits(60), now_ms(), trusted
+            self.config.me, len(self.config.keepers), recovered, secrets.randbits(60), now_ms(), trusted
         )
 
     def start(self) -> str:
-        """Open the port; where it is. OSError where it can't be had."""
+        """Start listening; returns "host:port". OSError if the port can't be bound."""
         self.server.start()
-        self._do(self.core.begin(now_ms()))
+        self._carry_out(self.core.begin(now_ms()))
         self.greenlets = [gevent.spawn(link.run) for link in self.links.values()]
-        self.greenlets += [gevent.spawn(self._tick), gevent.spawn(self._tell)]
+        self.greenlets += [gevent.spawn(self._run_timer), gevent.spawn(self._log_stats)]
         self.log(
             "keeper.listening",
             port=self.server.server_port,
@@ -185,99 +206,99 @@
         return f"{self.server.server_host}:{self.server.server_port}"
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening, end all tasks and close the log file."""
         self.server.close()
         gevent.killall(self.greenlets)
         self.disk.close()
 
-    # ---- the consensus object
+    # ---- the consensus state machine
 
-    def _do(self, actions: list[Action]) -> None:
-        """Carry out what it says, in order."""
-        if self.broken:
+    def _carry_out(self, actions: list[Action]) -> None:
+        """Carry out the actions of the state machine, in order."""
+        if self.disk_failed:
             return
         try:
             for action in actions:
                 match action:
                     case Save():
                         self.disk.write(action, self.core.state)
-                    case Send(to, what):
-                        self.links[to].say(what)
+                    case Send(to, message):
+                        self.links[to].enqueue(message)
                     case Outcome():
-                        self._settle(action)
+                        self._resolve(action)
                     case EntriesChosen():
                         self.log("keeper.chose", **summary(self.core.state))
-                        self.changed.set()
-                        self.changed.clear()
-        except DiskFailed as error:
-            self._disk_failed(error)
-
-    def _disk_failed(self, error: DiskFailed) -> None:
-        """Guards against saying what is not on disk: silent, then begun anew as if just started."""
-        self.broken = True
+                        self.state_changed.set()
+                        self.state_changed.clear()
+        except DiskWriteError as error:
+            self._on_disk_failure(error)
+
+    def _on_disk_failure(self, error: DiskWriteError) -> None:
+        """Send nothing that is not durable: fall silent, then reload from disk as after a restart."""
+        self.disk_failed = True
         self.counts["disk_failed"] += 1
         self.log("keeper.disk_failed", reason=str(error))
-        for ticket in list(self.tickets):
-            self._settle(Outcome(ticket, 0, "the disk failed", True))
-        self.greenlets.append(gevent.spawn(self._mend))
+        for ticket in list(self.waiters):
+            self._resolve(Outcome(ticket, 0, "the disk failed", True))
+        self.greenlets.append(gevent.spawn(self._recover_disk))
 
-    def _mend(self) -> None:
-        while self.broken:
-            gevent.sleep(DISK_AGAIN_S)
+    def _recover_disk(self) -> None:
+        while self.disk_failed:
+            gevent.sleep(DISK_RETRY_S)
             try:
                 self.disk.close()
-                core = self._begin(False)
-                # what can't be written now would fail again at once
+                core = self._load_core(False)
+                # a trial write: if it fails, so would the first write after the recovery
                 self.disk.write(Save(core.promised, core.vote, ()), core.state)
             except OSError:
                 continue
-            self.core, self.broken, self.led = core, False, False
-            self._do(self.core.begin(now_ms()))
+            self.core, self.disk_failed, self.was_leader = core, False, False
+            self._carry_out(self.core.begin(now_ms()))
             self.log("keeper.disk_mended", number=core.number)
 
-    def _settle(self, outcome: Outcome) -> None:
-        if outcome.ticket == self.stewards_ticket:
-            self.stewards_ticket = 0
-        if (waiting := self.tickets.pop(outcome.ticket, None)) is not None:
-            waiting.set(outcome)
+    def _resolve(self, outcome: Outcome) -> None:
+        if outcome.ticket == self.reconciler_ticket:
+            self.reconciler_ticket = 0
+        if (result := self.waiters.pop(outcome.ticket, None)) is not None:
+            result.set(outcome)
 
-    def _tick(self) -> None:
+    def _run_timer(self) -> None:
         last = now_ms()
         while True:
             gevent.sleep(TICK_S)
             now = now_ms()
-            if self.broken:
+            if self.disk_failed:
                 continue
-            if now - last > STILL_MS:
+            if now - last > STALL_THRESHOLD_MS:
                 self.counts["stalls"] += 1
                 self.log("keeper.stood_still", for_ms=round(now - last))
-                self.steward.reset_waits(now)
+                self.reconciler.reset_waits(now)
             last = now
-            self._do(self.core.tick(now))
-            self._steer(now)
-
-    def _steer(self, now: float) -> None:
-        """While this keeper leads: write what is due."""
-        if self.core.leads != self.led:
-            self.led = self.core.leads
-            if self.led:
+            self._carry_out(self.core.tick(now))
+            self._drive_leader(now)
+
+    def _drive_leader(self, now: float) -> None:
+        """While this keeper leads, propose the entry that the reconciler finds due, one at a time."""
+        if self.core.leads != self.was_leader:
+            self.was_leader = self.core.leads
+            if self.was_leader:
                 self.counts["elected"] += 1
-                self.steward.reset_waits(now)
-                self.stewards_ticket = 0
+                self.reconciler.reset_waits(now)
+                self.reconciler_ticket = 0
                 self.log("keeper.leads", ballot=self.core.ballot[0], number=self.core.number)
-        if self.led and not self.stewards_ticket and self.core.proposal is None:
-            due = self.steward.next_entry(now, self.core.state) or self._first()
-            if due is not None:
-                self.ticket += 1
-                self.stewards_ticket = self.ticket
-                self._do(self.core.submit(now, self.ticket, due))
-
-    def _first(self) -> Body | None:
-        """The first settings of all, where the file names some and no version was ever proposed."""
-        if self.first is None or self.core.state.history:
+        if self.was_leader and not self.reconciler_ticket and self.core.proposal is None:
+            entry = self.reconciler.next_entry(now, self.core.state) or self._initial_proposal()
+            if entry is not None:
+                self.last_ticket += 1
+                self.reconciler_ticket = self.last_ticket
+                self._carry_out(self.core.submit(now, self.last_ticket, entry))
+
+    def _initial_proposal(self) -> Body | None:
+        """The configured initial settings, unless there are none or a version was proposed before."""
+        if self.initial_settings is None or self.core.state.history:
             return None
         return Proposed(
-            self.first,
+            self.initial_settings,
             0,
             "keeper",
             f"first settings, {self.config.first_settings}",
@@ -285,18 +306,19 @@
             time.time() * 1000,
         )
 
-    def _offer(self, body: Body) -> Outcome:
-        self.ticket += 1
-        ticket, waiting = self.ticket, AsyncResult()
-        self.tickets[ticket] = waiting
-        self._do(self.core.submit(now_ms(), ticket, body))
-        outcome = waiting.wait(self.config.offer_ms / 1000)
-        self.tickets.pop(ticket, None)
+    def _submit(self, body: Body) -> Outcome:
+        """Propose an entry and wait for the outcome, for at most `offer_ms`."""
+        self.last_ticket += 1
+        ticket, result = self.last_ticket, AsyncResult()
+        self.waiters[ticket] = result
+        self._carry_out(self.core.submit(now_ms(), ticket, body))
+        outcome = result.wait(self.config.offer_ms / 1000)
+        self.waiters.pop(ticket, None)
         return outcome if outcome is not None else Outcome(ticket, 0, "no majority in time", True)
 
-    def _tell(self) -> None:
+    def _log_stats(self) -> None:
         while True:
-            gevent.sleep(TELL_EVERY_S)
+            gevent.sleep(STATS_INTERVAL_S)
             state = self.core.state
             self.reports.expire(now_ms(), state.members.keys() | state.held.keys())
             self.log(
@@ -316,18 +338,18 @@
 
     def _serve(self, sock: socket.socket, _peer: object) -> None:
         try:
-            sock.settimeout(IDLE_S)
+            sock.settimeout(IDLE_TIMEOUT_S)
             serve(sock, RequestReader(16_384, 100, wire.BODY_BYTES), self._response)
         finally:
             sock.close()
 
     def _response(self, request: Request) -> bytes:
-        status, body = self._answer(request)
-        kind = (b"content-type", b"application/x-protobuf")
-        return write.response(status, [kind], body, request.keep_alive)
+        status, body = self._dispatch(request)
+        content_type = (b"content-type", b"application/x-protobuf")
+        return write.response(status, [content_type], body, request.keep_alive)
 
-    def _answer(self, request: Request) -> tuple[int, bytes]:
-        if self.broken:
+    def _dispatch(self, request: Request) -> tuple[int, bytes]:
+        if self.disk_failed:
             return 503, b"the disk failed"
         handler = self.handlers.get(request.target)
         if handler is None or request.method != "POST":
@@ -338,159 +360,177 @@
             self.counts["bad"] += 1
             return 400, str(error).encode()
 
-    def _heard(self, body: bytes) -> tuple[int, bytes]:
+    def _handle_batch(self, body: bytes) -> tuple[int, bytes]:
         batch = wire.unpack(body, wire.MessageBatch, self.public, "keeper")
         if batch.sender not in self.links:
             raise ValueError(f"there is no other keeper {batch.sender}")
         now = now_ms()
-        for said in batch.messages:
-            if isinstance(said, HeartbeatReply):
-                self.reports.merge(now, said.reports)
-            self._do(self.core.receive(now, batch.sender, said))
+        for message in batch.messages:
+            if isinstance(message, HeartbeatReply):
+                self.reports.merge(now, message.reports)
+            self._carry_out(self.core.receive(now, batch.sender, message))
         return 204, b""
 
-    def _renew(self, body: bytes) -> tuple[int, bytes]:
-        asked = wire.unpack_unsigned(body, RenewRequest)
+    def _handle_renew(self, body: bytes) -> tuple[int, bytes]:
+        request = wire.unpack_unsigned(body, RenewRequest)
         if not self.core.recovered:
             return 503, b"this keeper has just started"
         self.counts["renewals"] += 1
-        self._take_report(asked)
-        # a question may only wait while nothing that it would want to know is there
+        self._record_report(request)
+        # Long poll: hold the request only while there is nothing new to tell the instance.
         if (
-            asked.number == self.core.number
-            and asked.wait_ms > 0
+            request.number == self.core.number
+            and request.wait_ms > 0
             and self.core.certain
-            and asked.intent == "stay"
+            and request.intent == "stay"
         ):
-            self.changed.wait(min(asked.wait_ms, self.config.most_wait_ms) / 1000)
-        if self.broken or not self.core.recovered:
+            self.state_changed.wait(min(request.wait_ms, self.config.most_wait_ms) / 1000)
+        if self.disk_failed or not self.core.recovered:
             return 503, b"this keeper has just started"
-        return 200, wire.pack(self._renewed(asked), self.key, "renewed")
+        return 200, wire.pack(self._renew_reply(request), self.key, "renewed")
 
-    def _take_report(self, asked: RenewRequest) -> None:
-        if asked.incarnation:
+    def _record_report(self, request: RenewRequest) -> None:
+        if request.incarnation:
             self.reports.record(
                 now_ms(),
                 Report(
-                    asked.incarnation,
-                    asked.name,
-                    asked.number,
-                    asked.ready_version,
-                    asked.apply_error,
-                    asked.intent,
-                    asked.replaces,
-                    asked.zone,
-                    asked.lease_remaining_ms,
+                    request.incarnation,
+                    request.name,
+                    request.number,
+                    request.ready_version,
+                    request.apply_error,
+                    request.intent,
+                    request.replaces,
+                    request.zone,
+                    request.lease_remaining_ms,
                 ),
             )
 
-    def _renewed(self, asked: RenewRequest) -> RenewReply:
+    def _renew_reply(self, request: RenewRequest) -> RenewReply:
         core, state = self.core, self.core.state
-        other = self._other_past(asked)
-        member = asked.incarnation in state.members
-        hindrance = (
+        diverged = self._is_diverged(request)
+        is_member = request.incarnation in state.members
+        join_error = (
             ""
-            if member or not asked.incarnation
-            else state.join_error(Newcomer(asked.name, asked.incarnation, asked.replaces, asked.zone))
+            if is_member or not request.incarnation
+            else state.join_error(Newcomer(request.name, request.incarnation, request.replaces, request.zone))
+        )
+        updates = (
+            CatchUp(()) if diverged or request.number >= core.number else core.catch_up_since(request.number)
+        )
+        return RenewReply(
+            request.sent, core.number, core.certain and not diverged, is_member, diverged, join_error, updates
         )
-        news = CatchUp(()) if other or asked.number >= core.number else core.catch_up_since(asked.number)
-        return RenewReply(asked.sent, core.number, core.certain and not other, member, other, hindrance, news)
 
-    def _other_past(self, asked: RenewRequest) -> bool:
-        """Whether the asker holds what this log does not, as far as this keeper can tell."""
+    def _is_diverged(self, request: RenewRequest) -> bool:
+        """Whether the instance's history is known to differ from this keeper's log."""
         core = self.core
-        if asked.number == core.number:
-            return asked.chain != core.state.chain
-        if core.snapshot_number < asked.number < core.number:
-            return asked.chain != core.entries[asked.number - core.snapshot_number].previous_chain
+        if request.number == core.number:
+            return request.chain != core.state.chain
+        if core.snapshot_number < request.number < core.number:
+            return request.chain != core.entries[request.number - core.snapshot_number].previous_chain
         return False
 
-    def _told(self, version: int, reason: str = "", again: bool = False) -> tuple[int, bytes]:
-        return 200, wire.pack(wire.OperatorReply(version, reason, self.core.leader, again), self.key, "told")
+    def _operator_reply(self, version: int, reason: str = "", retry: bool = False) -> tuple[int, bytes]:
+        return 200, wire.pack(wire.OperatorReply(version, reason, self.core.leader, retry), self.key, "told")
 
-    def _propose(self, body: bytes) -> tuple[int, bytes]:
-        asked = wire.unpack(body, wire.Proposal, self.public, "propose")
+    def _handle_propose(self, body: bytes) -> tuple[int, bytes]:
+        request = wire.unpack(body, wire.Proposal, self.public, "propose")
         self.counts["proposals"] += 1
-        if version := self._version_of(asked.token):
-            return self._told(version)
-        outcome = self._offer(
+        if version := self._version_of(request.token):
+            return self._operator_reply(version)
+        outcome = self._submit(
             Proposed(
-                asked.document,
-                asked.base,
-                asked.author,
-                asked.reason,
-                asked.token,
+                request.document,
+                request.base,
+                request.author,
+                request.reason,
+                request.token,
                 time.time() * 1000,
-                asked.canaries,
+                request.canaries,
             )
         )
-        # its first sending may have come through meanwhile, and then refused this one
-        if version := self._version_of(asked.token):
-            return self._told(version)
+        # A retry may have lost to its own first transmission, which has been chosen meanwhile.
+        if version := self._version_of(request.token):
+            return self._operator_reply(version)
         self.counts["refused"] += 1
-        return self._told(0, outcome.reason, outcome.unknown)
+        return self._operator_reply(0, outcome.reason, outcome.unknown)
 
     def _version_of(self, token: str) -> int:
-        return next((n.version for n in reversed(self.core.state.history) if n.token == token), 0)
+        """The version that was proposed with this token; 0 if there is none."""
+        return next((note.version for note in reversed(self.core.state.history) if note.token == token), 0)
 
-    def _command(self, body: bytes) -> tuple[int, bytes]:
-        asked = wire.unpack(body, wire.OperatorCommand, self.public, "command")
+    def _handle_command(self, body: bytes) -> tuple[int, bytes]:
+        request = wire.unpack(body, wire.OperatorCommand, self.public, "command")
         state = self.core.state
         if not self.core.leads:
-            return self._told(0, "not the leader", True)
-        self.log("keeper.command", what=asked.action, version=asked.version, name=asked.name, by=asked.author)
-        if asked.action == "force" and state.dropped is not None and state.dropped.version == asked.version:
-            return self._force_dropped(asked, state.dropped)
-        if asked.action in ("force", "widen", "drop"):
-            if not state.queue or state.queue[0].version != asked.version:
-                return self._told(0, f"version {asked.version} is not the next in line")
-            if asked.action == "drop":
+            return self._operator_reply(0, "not the leader", True)
+        self.log(
+            "keeper.command",
+            what=request.action,
+            version=request.version,
+            name=request.name,
+            by=request.author,
+        )
+        if (
+            request.action == "force"
+            and state.dropped is not None
+            and state.dropped.version == request.version
+        ):
+            return self._force_dropped(request, state.dropped)
+        if request.action in ("force", "widen", "drop"):
+            if not state.queue or state.queue[0].version != request.version:
+                return self._operator_reply(0, f"version {request.version} is not the next in line")
+            if request.action == "drop":
                 if state.phase:
-                    return self._told(0, "some act on it already: propose the old settings anew")
-                return self._wrote(
-                    self._offer(Dropped(asked.version, (f"taken back by {asked.author}",))), asked.version
+                    return self._operator_reply(0, "some act on it already: propose the old settings anew")
+                return self._reply_to(
+                    self._submit(Dropped(request.version, (f"taken back by {request.author}",))),
+                    request.version,
                 )
-            (self.steward.forced if asked.action == "force" else self.steward.widened).add(asked.version)
-            return self._told(asked.version)
-        if asked.action == "retire":
-            lives = tuple(life for life, h in state.held.items() if h.name == asked.name)
-            if not lives:
-                return self._told(0, f"no instance {asked.name} is away with a share")
-            return self._wrote(self._offer(Left(lives)), state.version)
-        raise ValueError(f"no command {asked.action!r}")
-
-    def _wrote(self, outcome: Outcome, version: int) -> tuple[int, bytes]:
-        return self._told(version if outcome.number else 0, outcome.reason, outcome.unknown)
-
-    def _force_dropped(self, asked: wire.OperatorCommand, dropped: PendingVersion) -> tuple[int, bytes]:
-        """What instances refused is put in force as a version of its own, once."""
-        token = f"force {asked.version}"
+            (self.reconciler.forced if request.action == "force" else self.reconciler.widened).add(
+                request.version
+            )
+            return self._operator_reply(request.version)
+        if request.action == "retire":
+            incarnations = tuple(i for i, held in state.held.items() if held.name == request.name)
+            if not incarnations:
+                return self._operator_reply(0, f"no instance {request.name} is away with a share")
+            return self._reply_to(self._submit(Left(incarnations)), state.version)
+        raise ValueError(f"no command {request.action!r}")
+
+    def _reply_to(self, outcome: Outcome, version: int) -> tuple[int, bytes]:
+        return self._operator_reply(version if outcome.number else 0, outcome.reason, outcome.unknown)
+
+    def _force_dropped(self, request: wire.OperatorCommand, dropped: PendingVersion) -> tuple[int, bytes]:
+        """Propose a version that instances rejected again, as a new one that needs no consent; idempotent."""
+        token = f"force {request.version}"
         if not self._version_of(token):
-            outcome = self._offer(
+            outcome = self._submit(
                 Proposed(
                     dropped.document,
                     self.core.state.newest,
-                    asked.author,
-                    f"version {asked.version} forced",
+                    request.author,
+                    f"version {request.version} forced",
                     token,
                     time.time() * 1000,
                     forced=True,
                 )
             )
             if not outcome.number:
-                return self._wrote(outcome, 0)
-        return self._told(self._version_of(token))
+                return self._reply_to(outcome, 0)
+        return self._operator_reply(self._version_of(token))
 
-    def _look(self, body: bytes) -> tuple[int, bytes]:
+    def _handle_status(self, body: bytes) -> tuple[int, bytes]:
         now, core = now_ms(), self.core
         reports = self.reports.with_ages(now, self.reports.known)
-        look = wire.KeeperStatus(
+        status = wire.KeeperStatus(
             core.me,
             core.leader,
             core.recovered,
             core.certain,
             encode(core.state),
             tuple(reports),
-            self.steward.waits_for(now, core.state) if core.leads else "",
+            self.reconciler.waits_for(now, core.state) if core.leads else "",
         )
-        return 200, wire.pack(look, self.key, "look")
+        return 200, wire.pack(status, self.key, "look")
--- a/tamarindfold/modelcheck/__init__.py
+++ b/tamarindfold/modelcheck/__init__.py
@@ -1,1 +1,1 @@
-"""Plays the objects that run through orders of events that no test would think of; checks what must hold."""
+"""Model checker: runs the production state machines through many orders of events and checks invariants."""
--- a/tamarindfold/modelcheck/explorer.py
+++ b/tamarindfold/modelcheck/explorer.py
@@ -1,7 +1,7 @@
-"""Explores a world of real objects: every order of moves within bounds, then long walks by chance.
+"""Explores the states that a model can reach: breadth-first search within bounds, and long random walks.
 
-A world is not changed by a move: it gives another one. Worlds with the same key are the same; each is gone on
-from once. A trace is the names of the moves, so that a counter-example can be played again as a test.
+A move does not change a world but returns a new one. Worlds with equal keys are the same state, and a search
+expands it only once. A trace is a list of move names, so a counterexample can be replayed as a test.
 """
 
 from __future__ import annotations
@@ -15,85 +15,97 @@
 
 
 class World(Protocol):
-    """What is explored."""
+    """One state of a model."""
 
     def moves(self) -> Sequence[str]:
-        """The names of what may happen next, the same for the same key."""
+        """The names of the possible next events; equal for equal keys."""
 
     def after(self, move: str) -> World:
-        """The world once that has happened."""
+        """The state after an event."""
 
     def key(self) -> Hashable:
-        """What tells this world from others; those that are alike but for names may share one."""
+        """Identifies the state; states that differ only by a permutation of names may share a key."""
 
-    def broken(self) -> str:
-        """What does not hold here; empty where all does."""
+    def violation(self) -> str:
+        """The invariant that is violated in this state; empty if all of them hold."""
 
 
 @dataclass
-class Found:
-    """What an exploration came to. states: different worlds seen by the search, moves: all that were made."""
+class Exploration:
+    """The result of one or more explorations.
+
+    states: distinct states visited by searches; moves: all transitions made; broken: the invariant that was
+    violated, or empty; trace: the moves that lead to the violation.
+    """
 
     states: int = 0
     moves: int = 0
     walks: int = 0
-    deepest: int = 0
-    whole: bool = False  # every world within the bounds was seen
+    max_depth: int = 0
+    exhaustive: bool = False  # a search visited every state within the bounds
     broken: str = ""
     trace: list[str] = field(default_factory=list)
     seconds: float = 0.0
 
     @property
     def per_s(self) -> float:
-        """Moves a second."""
+        """Moves per second."""
         return self.moves / self.seconds if self.seconds else 0.0
 
 
-def search(begin: World, most_states: int, found: Found | None = None) -> Found:
-    """Breadth first, so that a counter-example is a shortest one; `whole` where nothing was left out."""
-    made = found or Found()
-    began = time.perf_counter()
-    seen: dict[Hashable, tuple[Hashable, str] | None] = {begin.key(): None}
-    depth = {begin.key(): 0}
-    edge: deque[World] = deque([begin])
-    made.broken = begin.broken()
-    while edge and not made.broken and len(seen) < most_states:
-        world = edge.popleft()
-        here = world.key()
+def search(initial: World, max_states: int, result: Exploration | None = None) -> Exploration:
+    """Search breadth first, so that a counterexample is a shortest one; stops at the first violation.
+
+    Adds to `result` if it is given.
+    """
+    result = result or Exploration()
+    started = time.perf_counter()
+    parents: dict[Hashable, tuple[Hashable, str] | None] = {initial.key(): None}
+    depth = {initial.key(): 0}
+    frontier: deque[World] = deque([initial])
+    result.broken = initial.violation()
+    while frontier and not result.broken and len(parents) < max_states:
+        world = frontier.popleft()
+        parent = world.key()
         for move in world.moves():
-            made.moves += 1
-            then = world.after(move)
-            key = then.key()
-            if key in seen:
+            result.moves += 1
+            successor = world.after(move)
+            key = successor.key()
+            if key in parents:
                 continue
-            seen[key], depth[key] = (here, move), depth[here] + 1
-            made.deepest = max(made.deepest, depth[key])
-            if reason := then.broken():
-                made.broken, made.trace = reason, _back(seen, key)
+            parents[key], depth[key] = (parent, move), depth[parent] + 1
+            result.max_depth = max(result.max_depth, depth[key])
+            if violation := successor.violation():
+                result.broken, result.trace = violation, _trace_to(parents, key)
                 break
-            edge.append(then)
-    made.whole = not edge and not made.broken
-    made.states += len(seen)
-    made.seconds += time.perf_counter() - began
-    return made
+            frontier.append(successor)
+    result.exhaustive = not frontier and not result.broken
+    result.states += len(parents)
+    result.seconds += time.perf_counter() - started
+    return result
 
 
-def _back(seen: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> list[str]:
+def _trace_to(parents: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> list[str]:
     trace: list[str] = []
-    step = seen[key]
+    step = parents[key]
     while step is not None:
         trace.append(step[1])
-        step = seen[step[0]]
+        step = parents[step[0]]
     return trace[::-1]
 
 
-def walk(begin: Callable[[], World], walks: int, length: int, seed: int, found: Found | None = None) -> Found:
-    """Walks by chance, each from the beginning; a counter-example is shortened by leaving moves out."""
-    made = found or Found()
-    began = time.perf_counter()
+def walk(
+    begin: Callable[[], World], walks: int, length: int, seed: int, result: Exploration | None = None
+) -> Exploration:
+    """Make random walks, each from a new initial state, until one violates an invariant.
+
+    The counterexample is shortened. Adds to `result` if it is given.
+    """
+    result = result or Exploration()
+    started = time.perf_counter()
     random = Random(seed)
     for _ in range(walks):
-        made.walks += 1
+        result.walks += 1
         world, trace = begin(), []
         for _ in range(length):
             moves = world.moves()
@@ -102,37 +114,37 @@
             move = random.choice(list(moves))
             world = world.after(move)
             trace.append(move)
-            made.moves += 1
-            if reason := world.broken():
-                made.broken, made.trace = reason, shorten(begin, trace)
-                made.seconds += time.perf_counter() - began
-                return made
-        made.deepest = max(made.deepest, len(trace))
-    made.seconds += time.perf_counter() - began
-    return made
-
-
-def replay(begin: World, trace: Sequence[str]) -> str:
-    """What a trace breaks; empty where it breaks nothing or can't be played."""
-    world = begin
+            result.moves += 1
+            if violation := world.violation():
+                result.broken, result.trace = violation, shorten(begin, trace)
+                result.seconds += time.perf_counter() - started
+                return result
+        result.max_depth = max(result.max_depth, len(trace))
+    result.seconds += time.perf_counter() - started
+    return result
+
+
+def replay(initial: World, trace: Sequence[str]) -> str:
+    """The violation that a trace leads to; empty if there is none or a move is not possible."""
+    world = initial
     for move in trace:
         if move not in world.moves():
             return ""
         world = world.after(move)
-        if reason := world.broken():
-            return reason
+        if violation := world.violation():
+            return violation
     return ""
 
 
 def shorten(begin: Callable[[], World], trace: list[str]) -> list[str]:
-    """A part of the trace that still breaks something, without a piece that could be left out."""
+    """Remove moves, in blocks of decreasing size, as long as the rest of the trace violates an invariant."""
     size = max(1, len(trace) // 2)
     while size:
         at = 0
         while at < len(trace):
-            less = trace[:at] + trace[at + size :]
-            if replay(begin(), less):
-                trace = less
+            candidate = trace[:at] + trace[at + size :]
+            if replay(begin(), candidate):
+                trace = candidate
             else:
                 at += size
         size //= 2
--- a/tamarindfold/modelcheck/keepers.py
+++ b/tamarindfold/modelcheck/keepers.py
@@ -1,6 +1,6 @@
-"""The keepers of the agreed log as a world: messages lost, repeated and out of order, crashes, wiped disks.
+"""A model of the keepers' consensus group: lost, repeated and reordered messages, crashes, wiped disks.
 
-What the clock would decide is left to chance: any keeper may stand or say again what it said at any moment.
+Timers are replaced by free choice: at any moment, any keeper may start an election or repeat its heartbeat.
 """
 
 from __future__ import annotations
@@ -25,38 +25,38 @@
 )
 from tamarindfold.agreement.log import Body, Entry, Left
 
-Message = tuple[int, int, KeeperMessage]  # from, to, what
+Message = tuple[int, int, KeeperMessage]  # sender, receiver, content
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """How much may happen in one world."""
+    """How often each kind of event may happen in one world."""
 
     keepers: int = 3
-    stands: int = 2
-    offers: int = 2
+    elections: int = 2
+    proposals: int = 2
     crashes: int = 0
-    wipes: int = 0
-    beats: int = 1_000  # times that a leader says again what it said
-    repeats: int = 0  # messages that are delivered and stay in the net
+    wipes: int = 0  # crashes that lose the disk
+    heartbeats: int = 1_000  # retransmissions by a leader
+    duplicates: int = 0  # messages that are delivered and stay in the network
 
 
-class Stored(msgspec.Struct):
-    """A disk in memory."""
+class StoredDisk(msgspec.Struct):
+    """The durable state of one keeper, held in memory."""
 
     promised: tuple[int, int] = (0, 0)
     vote: Vote | None = None
     entries: tuple[Entry, ...] = ()
 
 
-def named(message: Message) -> str:
-    """A name for a message that tells it from all others, and is the same in every play."""
-    sender, to, what = message
-    mark = hashlib.blake2b(repr(what).encode(), digest_size=3).hexdigest()
-    return f"{sender}>{to} {type(what).__name__} {mark}"
+def message_label(message: Message) -> str:
+    """A label that is unique to the message and the same in every run."""
+    sender, to, content = message
+    digest = hashlib.blake2b(repr(content).encode(), digest_size=3).hexdigest()
+    return f"{sender}>{to} {type(content).__name__} {digest}"
 
 
 def clone(keeper: Keeper) -> Keeper:
-    """Another keeper that goes its own way; entries and messages are never changed."""
+    """An independent copy of a keeper; entries and messages are immutable and shared."""
     made = copy(keeper)
     made.state = keeper.state.copy()
     made.entries, made.submissions = deque(keeper.entries), deque(keeper.submissions)
@@ -66,111 +66,130 @@
 
 
 class KeeperWorld:
-    """Keepers, what is under way between them, and all that anybody was ever told to be chosen."""
+    """The keepers, the messages in transit, and every entry that was ever known to be chosen.
 
-    make: type[Keeper] = Keeper
-    disk_is_trusted = False  # planted: a keeper that starts votes at once
+    Names of the moves (K: a keeper, M: the label of a message):
+
+    - `ask K`: a keeper that has started, and has no vote yet, asks the others for their state again.
+    - `stand K`: the keeper starts an election. `beat K`: the leader sends its heartbeats or proposal again.
+    - `offer K`: an entry is submitted to the leader.
+    - `crash K`: the keeper restarts from its disk. `wipe K`: it restarts with an empty disk.
+    - `deliver M`: the message arrives; one that never does is lost.
+    - `repeat M`: the message arrives, and may arrive again.
+
+    The invariant: no keeper learns that an entry is chosen where another one has been chosen.
+    """
+
+    keeper_class: type[Keeper] = Keeper
+    disk_is_trusted = False  # set by planted faults: a restarted keeper votes without asking the others
 
     def __init__(
         self,
         bounds: Bounds,
         keepers: Sequence[Keeper],
-        disks: Sequence[Stored],
-        net: frozenset[Message],
+        disks: Sequence[StoredDisk],
+        network: frozenset[Message],
         chosen: tuple[bytes, ...],
         conflict: str,
-        left: Bounds,
+        remaining: Bounds,
     ) -> None:
-        self.bounds, self.keepers, self.disks, self.net = bounds, tuple(keepers), tuple(disks), net
-        self.chosen, self.conflict, self.left = chosen, conflict, left
+        """chosen: hashes of the chosen entries; remaining: how many more events may happen."""
+        self.bounds, self.keepers, self.disks, self.network = bounds, tuple(keepers), tuple(disks), network
+        self.chosen, self.conflict, self.remaining = chosen, conflict, remaining
         self._key: Hashable = None
 
     @classmethod
     def begin(cls, bounds: Bounds) -> KeeperWorld:
-        """Keepers that have started and know that all disks are empty."""
+        """A newly created group: all disks are empty and trusted."""
         keepers = [
-            cls.make(me, bounds.keepers, DurableState(), me, 0.0, True) for me in range(bounds.keepers)
+            cls.keeper_class(me, bounds.keepers, DurableState(), me, 0.0, True)
+            for me in range(bounds.keepers)
         ]
-        return cls(bounds, keepers, [Stored() for _ in keepers], frozenset(), (), "", bounds)
+        return cls(bounds, keepers, [StoredDisk() for _ in keepers], frozenset(), (), "", bounds)
 
     # ---- moves
 
     def moves(self) -> list[str]:
-        out = []
-        left = self.left
+        possible = []
+        remaining = self.remaining
         for keeper in self.keepers:
             me = keeper.me
             if not keeper.recovered:
-                out.append(f"ask {me}")
-            # alike but for their numbers: the first to stand is the first keeper
-            elif keeper.role != "leader" and left.stands and (left.stands < self.bounds.stands or me == 0):
-                out.append(f"stand {me}")
+                possible.append(f"ask {me}")
+            # keepers are interchangeable at first, so only keeper 0 starts the first election
+            elif (
+                keeper.role != "leader"
+                and remaining.elections
+                and (remaining.elections < self.bounds.elections or me == 0)
+            ):
+                possible.append(f"stand {me}")
             if keeper.leads:
-                if left.beats:
-                    out.append(f"beat {me}")
-                if left.offers and keeper.proposal is None:
-                    out.append(f"offer {me}")
-            if left.crashes:
-                out.append(f"crash {me}")
-            if left.wipes:
-                out.append(f"wipe {me}")
-        for label in sorted(map(named, self.net)):
-            out.append(f"deliver {label}")
-            if left.repeats:
-                out.append(f"repeat {label}")
-        return out
+                if remaining.heartbeats:
+                    possible.append(f"beat {me}")
+                if remaining.proposals and keeper.proposal is None:
+                    possible.append(f"offer {me}")
+            if remaining.crashes:
+                possible.append(f"crash {me}")
+            if remaining.wipes:
+                possible.append(f"wipe {me}")
+        for label in sorted(map(message_label, self.network)):
+            possible.append(f"deliver {label}")
+            if remaining.duplicates:
+                possible.append(f"repeat {label}")
+        return possible
 
     def after(self, move: str) -> KeeperWorld:
-        what, _, text = move.partition(" ")
-        left, net = self.left, self.net
+        kind, _, argument = move.partition(" ")
+        remaining, network = self.remaining, self.network
         disks = list(self.disks)
-        if what in ("deliver", "repeat"):
-            message = next(m for m in self.net if named(m) == text)
-            sender, me, said = message
+        if kind in ("deliver", "repeat"):
+            message = next(m for m in self.network if message_label(m) == argument)
+            sender, me, content = message
             keeper = clone(self.keepers[me])
-            if what == "repeat":
-                left = msgspec.structs.replace(left, repeats=left.repeats - 1)
+            if kind == "repeat":
+                remaining = msgspec.structs.replace(remaining, duplicates=remaining.duplicates - 1)
             else:
-                net = net - {message}
-            keeper.leader_heard_at = -1e9  # loyalty to a leader would only leave orders out
-            actions = keeper.receive(0.0, sender, said)
+                network = network - {message}
+            # Otherwise keepers that heard their leader lately would reject candidates, which hides orders.
+            keeper.leader_heard_at = -1e9
+            actions = keeper.receive(0.0, sender, content)
         else:
-            me = int(text)
+            me = int(argument)
             keeper = clone(self.keepers[me])
-            if what == "stand":
-                left = msgspec.structs.replace(left, stands=left.stands - 1)
+            if kind == "stand":
+                remaining = msgspec.structs.replace(remaining, elections=remaining.elections - 1)
                 keeper.election_due = 0.0
                 if keeper.role != "follower":
                     keeper._step_down(0.0)
                     keeper.election_due = 0.0
                 actions = keeper.tick(0.0)
-            elif what == "beat":
-                left = msgspec.structs.replace(left, beats=left.beats - 1)
+            elif kind == "beat":
+                remaining = msgspec.structs.replace(remaining, heartbeats=remaining.heartbeats - 1)
                 keeper.next_send_at, keeper.last_reply_at = 0.0, dict.fromkeys(keeper.others, 0.0)
                 actions = keeper.tick(0.0)
-            elif what == "ask":
+            elif kind == "ask":
                 keeper.next_send_at = 0.0
                 actions = keeper.tick(0.0)
-            elif what == "offer":
-                turn = self.bounds.offers - left.offers
-                left = msgspec.structs.replace(left, offers=left.offers - 1)
-                body: Body = Left((f"{me}-{turn}",))
-                actions = keeper.submit(0.0, turn + 1, body)
+            elif kind == "offer":
+                proposed = self.bounds.proposals - remaining.proposals
+                remaining = msgspec.structs.replace(remaining, proposals=remaining.proposals - 1)
+                body: Body = Left((f"{me}-{proposed}",))
+                actions = keeper.submit(0.0, proposed + 1, body)
             else:
-                wiped = what == "wipe"
-                left = (
-                    msgspec.structs.replace(left, wipes=left.wipes - 1)
+                wiped = kind == "wipe"
+                remaining = (
+                    msgspec.structs.replace(remaining, wipes=remaining.wipes - 1)
                     if wiped
-                    else msgspec.structs.replace(left, crashes=left.crashes - 1)
+                    else msgspec.structs.replace(remaining, crashes=remaining.crashes - 1)
                 )
-                disks[me] = Stored() if wiped else disks[me]
-                found = disks[me]
-                life = self.bounds.wipes + self.bounds.crashes - left.wipes - left.crashes
-                keeper = self.make(
+                disks[me] = StoredDisk() if wiped else disks[me]
+                stored = disks[me]
+                restarts = self.bounds.wipes + self.bounds.crashes - remaining.wipes - remaining.crashes
+                keeper = self.keeper_class(
                     me,
                     self.bounds.keepers,
-                    DurableState(found.promised, found.vote, None, list(found.entries)),
-                    100 * life + me,
+                    DurableState(stored.promised, stored.vote, None, list(stored.entries)),
+                    100 * restarts + me,
                     0.0,
                     self.disk_is_trusted,
                 )
@@ -178,47 +197,47 @@
         chosen, conflict = list(self.chosen), self.conflict
         disk = disks[me]
         for action in actions:
-            net, disk = self._carry_out(me, keeper, action, net, disk)
+            network, disk = self._carry_out(me, keeper, action, network, disk)
         disks[me] = disk
         for entry in keeper.entries:
             if entry.number > len(chosen):
                 chosen.append(entry.chain)
             elif chosen[entry.number - 1] != entry.chain and not conflict:
-                conflict = f"keeper {me} knows another entry {entry.number} than was chosen before"
+                conflict = f"keeper {me} knows a different entry {entry.number} than was chosen before"
         keepers = list(self.keepers)
         keeper.actions = []
         keepers[me] = keeper
-        return type(self)(self.bounds, keepers, disks, net, tuple(chosen), conflict, left)
+        return type(self)(self.bounds, keepers, disks, network, tuple(chosen), conflict, remaining)
 
     def _carry_out(
-        self, me: int, keeper: Keeper, action: Action, net: frozenset[Message], disk: Stored
-    ) -> tuple[frozenset[Message], Stored]:
+        self, me: int, keeper: Keeper, action: Action, network: frozenset[Message], disk: StoredDisk
+    ) -> tuple[frozenset[Message], StoredDisk]:
         match action:
-            case Send(to, what):
-                return net | {(me, to, what)}, disk
-            case Save(promised, vote, chosen, _):  # so small a world needs no whole state
-                return net, Stored(promised, vote, disk.entries + chosen)
+            case Send(to, content):
+                return network | {(me, to, content)}, disk
+            case Save(promised, vote, chosen, _):  # logs are too short here for a snapshot
+                return network, StoredDisk(promised, vote, disk.entries + chosen)
             case Outcome() | EntriesChosen():
-                return net, disk
+                return network, disk
 
-    # ---- what must hold
+    # ---- invariants
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         return self.conflict
 
     def key(self) -> Hashable:
         if self._key is None:
             self._key = (
-                tuple(map(_known, self.keepers)),
-                tuple((d.promised, d.vote, len(d.entries)) for d in self.disks),
-                self.net,
-                self.left,
+                tuple(map(_keeper_key, self.keepers)),
+                tuple((disk.promised, disk.vote, len(disk.entries)) for disk in self.disks),
+                self.network,
+                self.remaining,
                 self.chosen,
             )
         return self._key
 
 
-def _known(keeper: Keeper) -> Hashable:
+def _keeper_key(keeper: Keeper) -> Hashable:
     return (
         keeper.promised,
         keeper.vote,
--- a/tamarindfold/modelcheck/leases.py
+++ b/tamarindfold/modelcheck/leases.py
@@ -1,8 +1,8 @@
-"""Leases, shares and versions as a world: real keepers, a real steward and real leases, with time in steps.
+"""A model of leases, shares and settings versions, with the production objects and time in discrete steps.
 
-The keepers' own talk is played in one go with a follower (`sync`); what lies between instances and keepers is
-asked, served and heard at any distance of time, or never. Instances stand still and wake, and their clocks
-run at their own speeds.
+The leader exchanges all messages with one follower in a single move (`sync`). Between instances and keepers,
+sending a request, handling it and receiving its reply are separate moves, any time apart or left out.
+Instances are suspended and resumed, and their clocks run at different rates.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from tamarindfold.modelcheck.keepers import clone
 
 STEP_MS = 250.0
-RATES = (1.0, 1.01, 0.99, 1.005)  # how fast the instances' clocks run
-SLACK = 1e-6
+CLOCK_RATES = (1.0, 1.01, 0.99, 1.005)  # of the instances' clocks, relative to real time
+TOLERANCE = 1e-6  # for rounding errors
 
 
 def document(rate: float) -> Document:
-    """A version that grants so much."""
+    """Settings with one plan that grants `rate` requests per second."""
     return msgspec.convert(
         {
             "classes": [{"name": "quote", "aim_ms": 1000, "deadline_ms": 4000, "worth": 1, "effect": "safe"}],
@@ -40,297 +40,327 @@
     )
 
 
-_WHILE = ("time", "round") * 5  # a little longer than a lease
-# what a walk would seldom come to by chance, to go on from
-BEGINNINGS: dict[str, tuple[str, ...]] = {
+_LEASE_PERIOD = ("time", "round") * 5  # a little longer than a lease
+# Moves made before a walk begins, to reach states that a random walk would seldom reach. "one": an instance.
+STARTING_SCENARIOS: dict[str, tuple[str, ...]] = {
     "all is well": (),
-    "one reaches no keeper": ("cut 2", *_WHILE),
-    "one has answers under way for long": ("lag 2", *_WHILE),
-    "one reaches a single keeper": ("lone", *_WHILE),
+    "one reaches no keeper": ("cut 2", *_LEASE_PERIOD),
+    "one has answers under way for long": ("lag 2", *_LEASE_PERIOD),
+    "one reaches a single keeper": ("lone", *_LEASE_PERIOD),
     "one reaches a single keeper while others come and go": (
         "lone",
-        *_WHILE,
+        *_LEASE_PERIOD,
         "newcomer",
-        *_WHILE,
+        *_LEASE_PERIOD,
         "stop 1",
-        *_WHILE,
+        *_LEASE_PERIOD,
+    ),
+    "one follows a keeper that is behind": ("strand", *_LEASE_PERIOD, *_LEASE_PERIOD),
+    "one stands still": ("stop 2", *_LEASE_PERIOD, *_LEASE_PERIOD),
+    "one is lost while a version is on its way": ("cut 1", "propose", *_LEASE_PERIOD, *_LEASE_PERIOD),
+    "a version came while answers were under way": (
+        "lag 2",
+        "propose",
+        *_LEASE_PERIOD,
+        *_LEASE_PERIOD,
+        *_LEASE_PERIOD,
+        *_LEASE_PERIOD,
     ),
-    "one follows a keeper that is behind": ("strand", *_WHILE, *_WHILE),
-    "one stands still": ("stop 2", *_WHILE, *_WHILE),
-    "one is lost while a version is on its way": ("cut 1", "propose", *_WHILE, *_WHILE),
-    "a version came while answers were under way": ("lag 2", "propose", *_WHILE, *_WHILE, *_WHILE, *_WHILE),
 }
 VERSIONS = tuple(document(rate) for rate in (8.0, 4.0, 12.0, 3.0, 6.0))
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """How much may happen."""
+    """How often each kind of event may happen in one world."""
 
     instances: int = 3
     proposals: int = 3
-    stops: int = 2
-    cuts: int = 2  # an instance reaches no keeper, and goes on acting
-    restarts: int = 1  # an instance is killed, and another process begins in its place
-    joins: int = 1  # an instance more
-    leads: int = 1  # times that another keeper takes the lead
+    suspensions: int = 2
+    partitions: int = 2  # an instance reaches no keeper, and continues to run
+    restarts: int = 1  # an instance is killed and replaced by a new process
+    joins: int = 1  # an additional instance starts
+    leader_changes: int = 1
 
 
 class _Instance:
-    """A lease with its clock, what it has under way, and what it acts on."""
+    """An instance: its lease, its clock, its requests and replies in transit, and its effective settings."""
 
-    def __init__(self, lease: Lease, rate: float) -> None:
-        self.lease, self.rate = lease, rate
-        self.asked: dict[int, RenewRequest] = {}
-        self.answers: dict[int, RenewReply] = {}
-        self.acting: EffectiveSettings | None = None
-        self.stopped = self.cut = False
+    def __init__(self, lease: Lease, clock_rate: float) -> None:
+        self.lease, self.clock_rate = lease, clock_rate
+        self.requests: dict[int, RenewRequest] = {}  # by keeper
+        self.replies: dict[int, RenewReply] = {}
+        self.effective: EffectiveSettings | None = None
+        self.suspended = self.partitioned = False
 
     def copy(self) -> _Instance:
         made = copy(self)
         made.lease = copy(self.lease)
         made.lease.confirmed_at = dict(self.lease.confirmed_at)
-        made.asked, made.answers = dict(self.asked), dict(self.answers)
+        made.requests, made.replies = dict(self.requests), dict(self.replies)
         return made
 
 
 class LeaseWorld:
-    """All of it at one moment."""
+    """Three keepers, their reconcilers and the instances at one moment.
+
+    Names of the moves (I: an instance, K: a keeper, F: the leader's follower 1 or 2):
+
+    - `time`: the clock advances by STEP_MS.
+    - `propose`, `write`: the leader proposes a version, or the entry that its reconciler finds due.
+    - `sync F`: the leader and the follower exchange all their messages. `lead K`: the keeper is elected.
+    - `ask IK`, `serve IK`, `hear IK`: the steps of a lease renewal. `renew IK`: all three.
+    - `round`: a write, a sync of each reachable follower, and renewals by all instances that are running.
+    - `stop I`, `wake I`: the instance is suspended, or resumed. `restart I`: a new process replaces it.
+    - `cut I`: the instance is partitioned from all keepers. `heal I`: it is connected again.
+    - `lag I`: the instance is partitioned, and replies of all keepers are in transit to it.
+    - `newcomer`: another instance starts.
+    - `strand`, `join up`: the second follower and the last instance reach only each other, or all again.
+    - `lone`, `company`: the last instance reaches only the first follower, or all keepers again.
 
-    counts_from_arrival = False  # planted: a lease counts from the moment at which the answer came
+    The invariants are in `_outdated_version`, `_exceeded_rate` and `_duplicate_index`.
+    """
 
-    def __init__(self, bounds: Bounds, before: Sequence[str] = ()) -> None:
-        """before: moves that are made before the exploration begins."""
+    counts_from_arrival = False  # set by a planted fault: a lease counts from the arrival of the reply
+
+    def __init__(self, bounds: Bounds, scenario: Sequence[str] = ()) -> None:
+        """scenario: moves that are made before the exploration begins."""
         self.bounds, self.now = bounds, 0.0
         self.keepers = [Keeper(me, 3, DurableState(), me, 0.0, True) for me in range(3)]
         self.reports = [Reports() for _ in range(3)]
-        self.stewards = [Reconciler(reports) for reports in self.reports]
+        self.reconcilers = [Reconciler(reports) for reports in self.reports]
         self.leader = 0
         self.instances: list[_Instance] = []
-        self.left = bounds
-        self.lives = 0
-        self.proposed = 0
-        self.first_acted: dict[int, float] = {}
-        self.stranded = False  # the second follower reaches no keeper, and the last instance it alone
-        self.lone = False  # the last instance reaches the first follower alone
-        self.fault = ""
-        self._lead(0)
+        self.remaining = bounds
+        self.incarnations = 0
+        self.versions_proposed = 0
+        self.first_applied_at: dict[int, float] = {}
+        self.follower_isolated = False  # the second follower and the last instance reach only each other
+        self.single_keeper = False  # the last instance reaches only the first follower
+        self.first_violation = ""
+        self._make_leader(0)
         self._propose()
         for number in range(bounds.instances):
             self._start(number, "")
-        for _ in range(20):  # a fleet that is well to begin with
-            self._move("round")
-        self._look()
-        for move in before:
-            self._move(move)
-            self._look()
+        for _ in range(20):  # start from a healthy fleet
+            self._apply("round")
+        self._check_invariants()
+        for move in scenario:
+            self._apply(move)
+            self._check_invariants()
 
     # ---- the protocol of World
 
     def moves(self) -> Sequence[str]:
-        # a walk by chance would hardly ever leave all but one well for as long as a window
-        out = ["time"] * 4 + ["round"] * 6 + ["write", "sync 1"]
-        out += ["join up"] if self.stranded else ["sync 2", "strand"]
-        out += ["company"] if self.lone else ["lone"]
+        # Weighted: a uniform walk would hardly ever keep all instances but one healthy for a whole window.
+        possible = ["time"] * 4 + ["round"] * 6 + ["write", "sync 1"]
+        possible += ["join up"] if self.follower_isolated else ["sync 2", "strand"]
+        possible += ["company"] if self.single_keeper else ["lone"]
         for number, instance in enumerate(self.instances):
-            if instance.stopped:
-                out.append(f"wake {number}")
+            if instance.suspended:
+                possible.append(f"wake {number}")
                 continue
-            if self.left.stops:
-                out.append(f"stop {number}")
-            if self.left.restarts:
-                out.append(f"restart {number}")
-            if instance.cut:
-                out.append(f"heal {number}")
-                out += [f"hear {number}{keeper}" for keeper in sorted(instance.answers)]
+            if self.remaining.suspensions:
+                possible.append(f"stop {number}")
+            if self.remaining.restarts:
+                possible.append(f"restart {number}")
+            if instance.partitioned:
+                possible.append(f"heal {number}")
+                possible += [f"hear {number}{keeper}" for keeper in sorted(instance.replies)]
                 continue
-            if self.left.cuts:
-                out += [f"cut {number}", f"lag {number}"]
-            for keeper in self._reach(number):
+            if self.remaining.partitions:
+                possible += [f"cut {number}", f"lag {number}"]
+            for keeper in self._reachable(number):
                 at = f"{number}{keeper}"
-                out.append(f"renew {at}")
-                if keeper in instance.answers:
-                    out.append(f"hear {at}")
-                elif keeper in instance.asked:
-                    out.append(f"serve {at}")
+                possible.append(f"renew {at}")
+                if keeper in instance.replies:
+                    possible.append(f"hear {at}")
+                elif keeper in instance.requests:
+                    possible.append(f"serve {at}")
                 else:
-                    out.append(f"ask {at}")
-        if self.left.proposals:
-            out.append("propose")
-        if self.left.joins:
-            out.append("newcomer")
-        if self.left.leads:
-            out += ["lead 1", "lead 2"]
-        return out
+                    possible.append(f"ask {at}")
+        if self.remaining.proposals:
+            possible.append("propose")
+        if self.remaining.joins:
+            possible.append("newcomer")
+        if self.remaining.leader_changes:
+            possible += ["lead 1", "lead 2"]
+        return possible
 
     def after(self, move: str) -> LeaseWorld:
         made = copy(self)
         made.keepers = [clone(keeper) for keeper in self.keepers]
-        made.reports, made.stewards = [], []
-        for reports, steward in zip(self.reports, self.stewards, strict=True):
+        made.reports, made.reconcilers = [], []
+        for reports, reconciler in zip(self.reports, self.reconcilers, strict=True):
             other = copy(reports)
             other.known, other.unsent = dict(reports.known), dict(reports.unsent)
             made.reports.append(other)
-            again = copy(steward)
-            again.reports, again.loss_known_at = other, dict(steward.loss_known_at)
-            made.stewards.append(again)
+            reconciler_copy = copy(reconciler)
+            reconciler_copy.reports, reconciler_copy.loss_known_at = other, dict(reconciler.loss_known_at)
+            made.reconcilers.append(reconciler_copy)
         made.instances = [instance.copy() for instance in self.instances]
-        made.first_acted = dict(self.first_acted)
-        made._move(move)
-        made._look()
+        made.first_applied_at = dict(self.first_applied_at)
+        made._apply(move)
+        made._check_invariants()
         return made
 
     def key(self) -> Hashable:
         return (
             self.now,
             self.leader,
-            self.stranded,
-            self.lone,
+            self.follower_isolated,
+            self.single_keeper,
             tuple(k.state.chain for k in self.keepers),
             tuple(
                 (
-                    i.stopped,
-                    i.cut,
+                    i.suspended,
+                    i.partitioned,
                     i.lease.incarnation,
                     i.lease.state.number,
                     tuple(sorted(i.lease.confirmed_at.items())),
-                    tuple(sorted(i.asked)),
-                    tuple(sorted(i.answers)),
+                    tuple(sorted(i.requests)),
+                    tuple(sorted(i.replies)),
                     i.lease.share,
                 )
                 for i in self.instances
             ),
-            self.left,
+            self.remaining,
         )
 
-    def broken(self) -> str:
-        return self.fault
+    def violation(self) -> str:
+        return self.first_violation
 
     # ---- moves
 
-    def _move(self, move: str) -> None:
-        what, _, where = move.partition(" ")
-        if what == "time":
+    def _apply(self, move: str) -> None:
+        kind, _, target = move.partition(" ")
+        if kind == "time":
             self.now += STEP_MS
-        elif what == "write":
+        elif kind == "write":
             self._write()
-        elif what == "round":
-            for name in ("write", "sync 1", *(["sync 2"] if not self.stranded else [])):
-                self._move(name)
+        elif kind == "round":
+            for name in ("write", "sync 1", *(["sync 2"] if not self.follower_isolated else [])):
+                self._apply(name)
             for number, instance in enumerate(self.instances):
-                for keeper in self._reach(number) if not (instance.stopped or instance.cut) else ():
-                    self._instance("renew", f"{number}{keeper}")
-        elif what in ("strand", "join"):
-            self.stranded = what == "strand"
-        elif what in ("lone", "company"):
-            self.lone = what == "lone"
-        elif what == "sync":
-            self._sync(int(where))
-        elif what == "propose":
-            self.left = msgspec.structs.replace(self.left, proposals=self.left.proposals - 1)
+                for keeper in (
+                    self._reachable(number) if not (instance.suspended or instance.partitioned) else ()
+                ):
+                    self._apply_to_instance("renew", f"{number}{keeper}")
+        elif kind in ("strand", "join"):
+            self.follower_isolated = kind == "strand"
+        elif kind in ("lone", "company"):
+            self.single_keeper = kind == "lone"
+        elif kind == "sync":
+            self._sync_follower(int(target))
+        elif kind == "propose":
+            self.remaining = msgspec.structs.replace(self.remaining, proposals=self.remaining.proposals - 1)
             self._propose()
-        elif what == "newcomer":
-            self.left = msgspec.structs.replace(self.left, joins=self.left.joins - 1)
+        elif kind == "newcomer":
+            self.remaining = msgspec.structs.replace(self.remaining, joins=self.remaining.joins - 1)
             self._start(len(self.instances), "")
-        elif what == "lead":
-            self.left = msgspec.structs.replace(self.left, leads=self.left.leads - 1)
-            self._lead(int(where))
+        elif kind == "lead":
+            self.remaining = msgspec.structs.replace(
+                self.remaining, leader_changes=self.remaining.leader_changes - 1
+            )
+            self._make_leader(int(target))
         else:
-            self._instance(what, where)
+            self._apply_to_instance(kind, target)
 
-    def _reach(self, number: int) -> Sequence[int]:
-        """The keepers that an instance can ask."""
+    def _reachable(self, number: int) -> Sequence[int]:
+        """The keepers that an instance can reach."""
         followers = [k for k in range(3) if k != self.leader]
         if number != self.bounds.instances - 1:
             return range(3)
-        return followers[1:] if self.stranded else followers[:1] if self.lone else range(3)
+        return followers[1:] if self.follower_isolated else followers[:1] if self.single_keeper else range(3)
 
-    def _instance(self, what: str, where: str) -> None:
-        number = int(where[0])
+    def _apply_to_instance(self, kind: str, target: str) -> None:
+        number = int(target[0])
         instance = self.instances[number]
-        if what == "stop":
-            self.left = msgspec.structs.replace(self.left, stops=self.left.stops - 1)
-            instance.stopped, instance.acting = True, None  # it does nothing while it stands still
-        elif what == "wake":
-            instance.stopped = False
-        elif what in ("cut", "lag"):
-            self.left = msgspec.structs.replace(self.left, cuts=self.left.cuts - 1)
-            for keeper in range(3 if what == "lag" else 0):  # what it asked is answered, and long under way
-                self._step(instance, keeper, "ask")
-                self._step(instance, keeper, "serve")
-            instance.cut = True
-            instance.asked.clear()
-        elif what == "heal":
-            instance.cut = False
-        elif what == "restart":
-            self.left = msgspec.structs.replace(self.left, restarts=self.left.restarts - 1)
+        if kind == "stop":
+            self.remaining = msgspec.structs.replace(
+                self.remaining, suspensions=self.remaining.suspensions - 1
+            )
+            instance.suspended, instance.effective = True, None  # it does nothing while suspended
+        elif kind == "wake":
+            instance.suspended = False
+        elif kind in ("cut", "lag"):
+            self.remaining = msgspec.structs.replace(self.remaining, partitions=self.remaining.partitions - 1)
+            for keeper in range(3 if kind == "lag" else 0):  # the replies are delayed in transit
+                self._exchange(instance, keeper, "ask")
+                self._exchange(instance, keeper, "serve")
+            instance.partitioned = True
+            instance.requests.clear()
+        elif kind == "heal":
+            instance.partitioned = False
+        elif kind == "restart":
+            self.remaining = msgspec.structs.replace(self.remaining, restarts=self.remaining.restarts - 1)
             self._start(number, instance.lease.incarnation)
         else:
-            keeper = int(where[1])
-            for step in ("ask", "serve", "hear") if what == "renew" else (what,):
-                self._step(instance, keeper, step)
+            keeper = int(target[1])
+            for step in ("ask", "serve", "hear") if kind == "renew" else (kind,):
+                self._exchange(instance, keeper, step)
 
-    def _step(self, instance: _Instance, keeper: int, step: str) -> None:
+    def _exchange(self, instance: _Instance, keeper: int, step: str) -> None:
         if step == "ask":
-            instance.asked[keeper] = instance.lease.renew_request(self.now * instance.rate, 0.0)
-            instance.answers.pop(keeper, None)
-        elif step == "serve" and (asked := instance.asked.pop(keeper, None)) is not None:
-            instance.answers[keeper] = self._serve(keeper, asked)
-        elif step == "hear" and (answer := instance.answers.pop(keeper, None)) is not None:
+            instance.requests[keeper] = instance.lease.renew_request(self.now * instance.clock_rate, 0.0)
+            instance.replies.pop(keeper, None)
+        elif step == "serve" and (request := instance.requests.pop(keeper, None)) is not None:
+            instance.replies[keeper] = self._serve(keeper, request)
+        elif step == "hear" and (reply := instance.replies.pop(keeper, None)) is not None:
             if self.counts_from_arrival:
-                answer = msgspec.structs.replace(answer, sent=self.now * instance.rate)
-            instance.lease.handle_reply(keeper, answer)
+                reply = msgspec.structs.replace(reply, sent=self.now * instance.clock_rate)
+            instance.lease.handle_reply(keeper, reply)
             queue = instance.lease.state.queue
             if queue:
                 instance.lease.ready_version, instance.lease.apply_error = queue[0].version, ""
 
     def _start(self, number: int, replaces: str) -> None:
-        self.lives += 1
-        lease = Lease(f"life{self.lives}", f"i{number}", 3, replaces)
-        made = _Instance(lease, RATES[number % len(RATES)])
-        self.instances[number : number + 1] = [made]
+        self.incarnations += 1
+        lease = Lease(f"life{self.incarnations}", f"i{number}", 3, replaces)
+        instance = _Instance(lease, CLOCK_RATES[number % len(CLOCK_RATES)])
+        self.instances[number : number + 1] = [instance]
 
-    def _serve(self, keeper: int, asked: RenewRequest) -> RenewReply:
+    def _serve(self, keeper: int, request: RenewRequest) -> RenewReply:
         core = self.keepers[keeper]
         self.reports[keeper].record(
             self.now,
             Report(
-                asked.incarnation,
-                asked.name,
-                asked.number,
-                asked.ready_version,
-                asked.apply_error,
-                asked.intent,
-                asked.replaces,
+                request.incarnation,
+                request.name,
+                request.number,
+                request.ready_version,
+                request.apply_error,
+                request.intent,
+                request.replaces,
             ),
         )
-        news = core.catch_up_since(asked.number)
-        hindrance = core.state.join_error(Newcomer(asked.name, asked.incarnation, asked.replaces))
+        updates = core.catch_up_since(request.number)
+        join_error = core.state.join_error(Newcomer(request.name, request.incarnation, request.replaces))
         return RenewReply(
-            asked.sent,
+            request.sent,
             core.number,
             core.certain,
-            asked.incarnation in core.state.members,
+            request.incarnation in core.state.members,
             False,
-            hindrance,
-            news,
+            join_error,
+            updates,
         )
 
     def _propose(self) -> None:
         keeper = self.keepers[self.leader]
-        turn = self.proposed
-        if turn < len(VERSIONS) and keeper.proposal is None:
-            self.proposed += 1
-            body = Proposed(VERSIONS[turn], keeper.state.newest, "any", "", f"t{turn}", 0.0)
+        index = self.versions_proposed
+        if index < len(VERSIONS) and keeper.proposal is None:
+            self.versions_proposed += 1
+            body = Proposed(VERSIONS[index], keeper.state.newest, "any", "", f"t{index}", 0.0)
             self._carry_out(self.leader, keeper.submit(self.now, 1, body))
 
     def _write(self) -> None:
         keeper = self.keepers[self.leader]
         if keeper.leads and keeper.proposal is None:
-            due = self.stewards[self.leader].next_entry(self.now, keeper.state)
-            if due is not None:
-                self._carry_out(self.leader, keeper.submit(self.now, 1, due))
+            entry = self.reconcilers[self.leader].next_entry(self.now, keeper.state)
+            if entry is not None:
+                self._carry_out(self.leader, keeper.submit(self.now, 1, entry))
 
-    def _lead(self, number: int) -> None:
+    def _make_leader(self, number: int) -> None:
         keeper = self.keepers[number]
         for other in self.keepers:
             other.leader_heard_at = -1e9
@@ -339,87 +369,97 @@
         keeper.election_due = self.now
         self._carry_out(number, keeper.tick(self.now))
         for peer in (p for p in range(3) if p != number):
-            self._talk(number, peer)
+            self._deliver_between(number, peer)
         if keeper.leads:
             self.leader = number
-            self.stewards[number].reset_waits(self.now)
+            self.reconcilers[number].reset_waits(self.now)
 
-    def _sync(self, place: int) -> None:
-        """The leader talks with one follower until they have nothing more to say."""
-        peer = [k for k in range(3) if k != self.leader][place - 1]
+    def _sync_follower(self, follower: int) -> None:
+        """Let the leader and one follower exchange messages until none is left."""
+        peer = [k for k in range(3) if k != self.leader][follower - 1]
         keeper = self.keepers[self.leader]
         if keeper.leads:
             keeper.next_send_at, keeper.last_reply_at = self.now, dict.fromkeys(keeper.others, self.now)
             self._carry_out(self.leader, keeper.tick(self.now))
-            self._talk(self.leader, peer)
+            self._deliver_between(self.leader, peer)
 
-    def _talk(self, one: int, other: int) -> None:
+    def _deliver_between(self, one: int, other: int) -> None:
         for _ in range(20):
-            moved = False
+            delivered = False
             for sender, to in ((one, other), (other, one)):
-                for said in self._box(sender, to):
-                    moved = True
-                    if isinstance(said, HeartbeatReply):
-                        self.reports[to].merge(self.now, said.reports)
-                    self._carry_out(to, self.keepers[to].receive(self.now, sender, said))
-            if not moved:
+                for message in self._take_messages(sender, to):
+                    delivered = True
+                    if isinstance(message, HeartbeatReply):
+                        self.reports[to].merge(self.now, message.reports)
+                    self._carry_out(to, self.keepers[to].receive(self.now, sender, message))
+            if not delivered:
                 break
-        self.boxes: dict[tuple[int, int], list[Any]] = {}
+        self.mailboxes: dict[tuple[int, int], list[Any]] = {}
 
-    def _box(self, sender: int, to: int) -> list[Any]:
-        return self.boxes.pop((sender, to), []) if hasattr(self, "boxes") else []
+    def _take_messages(self, sender: int, to: int) -> list[Any]:
+        return self.mailboxes.pop((sender, to), []) if hasattr(self, "mailboxes") else []
 
     def _carry_out(self, me: int, actions: list[Action]) -> None:
-        if not hasattr(self, "boxes"):
-            self.boxes = {}
+        if not hasattr(self, "mailboxes"):
+            self.mailboxes = {}
         else:
-            self.boxes = {k: list(v) for k, v in self.boxes.items()}
+            self.mailboxes = {k: list(v) for k, v in self.mailboxes.items()}
         for action in actions:
             if isinstance(action, Send):
-                what = action.message
-                if isinstance(what, HeartbeatReply):
-                    what = HeartbeatReply(what.ballot, what.number, self.reports[me].take_unsent(self.now))
-                self.boxes.setdefault((me, action.to), []).append(what)
+                message = action.message
+                if isinstance(message, HeartbeatReply):
+                    message = HeartbeatReply(
+                        message.ballot, message.number, self.reports[me].take_unsent(self.now)
+                    )
+                self.mailboxes.setdefault((me, action.to), []).append(message)
 
-    # ---- what must hold
+    # ---- invariants
 
-    def _look(self) -> None:
+    def _check_invariants(self) -> None:
         for instance in self.instances:
-            if not instance.stopped:
-                instance.acting = instance.lease.effective_settings(self.now * instance.rate)
-        acting = [(i, i.acting) for i in self.instances if i.acting is not None and i.acting.share]
-        for _, act in acting:
-            if act.has_lease:
-                self.first_acted.setdefault(act.version, self.now)
-        self.fault = self.fault or self._contradiction(acting) or self._sum(acting) or self._places(acting)
-
-    def _contradiction(self, acting: list[tuple[_Instance, EffectiveSettings]]) -> str:
-        for instance, act in acting:
-            newer = [at for version, at in self.first_acted.items() if version > act.version]
-            window = act.document.terms.window_ms
-            if act.has_lease and newer and self.now - min(newer) > window + SLACK:
+            if not instance.suspended:
+                instance.effective = instance.lease.effective_settings(self.now * instance.clock_rate)
+        active = [(i, i.effective) for i in self.instances if i.effective is not None and i.effective.share]
+        for _, effective in active:
+            if effective.has_lease:
+                self.first_applied_at.setdefault(effective.version, self.now)
+        self.first_violation = (
+            self.first_violation
+            or self._outdated_version(active)
+            or self._exceeded_rate(active)
+            or self._duplicate_index(active)
+        )
+
+    def _outdated_version(self, active: list[tuple[_Instance, EffectiveSettings]]) -> str:
+        """With a lease, an instance applies an old version for more than a window after a newer one."""
+        for instance, effective in active:
+            newer = [at for version, at in self.first_applied_at.items() if version > effective.version]
+            window = effective.document.terms.window_ms
+            if effective.has_lease and newer and self.now - min(newer) > window + TOLERANCE:
                 return (
-                    f"{instance.lease.name} acts on version {act.version} "
-                    f"{self.now - min(newer):.0f} ms after a newer one was in force"
+                    f"{instance.lease.name} applies version {effective.version} "
+                    f"{self.now - min(newer):.0f} ms after a newer one took effect"
                 )
         return ""
 
-    def _sum(self, acting: list[tuple[_Instance, EffectiveSettings]]) -> str:
-        known = max((k.state for k in self.keepers), key=lambda state: state.number)
-        whole = known.document
-        if whole is None:
+    def _exceeded_rate(self, active: list[tuple[_Instance, EffectiveSettings]]) -> str:
+        """The instances together grant more than the rate of the newest known version."""
+        newest = max((k.state for k in self.keepers), key=lambda state: state.number)
+        settings = newest.document
+        if settings is None:
             return ""
-        granted = sum(act.share * act.document.plans[0].rate for _, act in acting)
-        if granted > whole.plans[0].rate * (1 + SLACK):
-            return f"all act on {granted:.3f} of {whole.plans[0].rate:g} a second"
+        granted = sum(effective.share * effective.document.plans[0].rate for _, effective in active)
+        if granted > settings.plans[0].rate * (1 + TOLERANCE):
+            return f"the instances together grant {granted:.3f} of {settings.plans[0].rate:g} per second"
         return ""
 
-    def _places(self, acting: list[tuple[_Instance, EffectiveSettings]]) -> str:
-        held: dict[int, str] = {}
-        for instance, act in acting:
-            terms = act.document.terms
-            if not act.has_lease and act.share <= terms.least_share * LOWEST_RATIO + SLACK:
-                continue  # acts on no place
-            if (other := held.setdefault(act.index, instance.lease.name)) != instance.lease.name:
-                return f"{other} and {instance.lease.name} both act on index {act.index}"
+    def _duplicate_index(self, active: list[tuple[_Instance, EffectiveSettings]]) -> str:
+        """Two instances use the same index."""
+        users: dict[int, str] = {}
+        for instance, effective in active:
+            terms = effective.document.terms
+            if not effective.has_lease and effective.share <= terms.least_share * LOWEST_RATIO + TOLERANCE:
+                continue  # on the lowest share, an instance uses no index of its own
+            if (other := users.setdefault(effective.index, instance.lease.name)) != instance.lease.name:
+                return f"{other} and {instance.lease.name} both use index {effective.index}"
         return ""
--- a/tamarindfold/modelcheck/simulated.py
+++ b/tamarindfold/modelcheck/simulated.py
@@ -1,6 +1,7 @@
-"""Keepers and hundreds of instances in simulated time: the real objects, delays, and a cost for each answer.
+"""A discrete-event simulation of keepers and hundreds of instances, using the production objects.
 
-Not a search: one run from a seed, for figures at sizes that one machine's processes do not reach.
+Messages have random delays, and each reply and disk write takes time. A run is determined by its seed. It
+gives measurements for fleets that are too large to run as processes on one machine.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
 from tamarindfold.agreement.reconciler import Reconciler
 
 TICK_MS = 10.0
-WAITS = 8  # questions in a window, as agreement.driver asks them
+POLLS_PER_WINDOW = 8  # long polls per lease window, as in agreement.driver
 
 
 class SimulatedFleet:
-    """Runs until told otherwise; `now` is simulated milliseconds."""
+    """A simulated fleet; `now` is the simulated time in milliseconds."""
 
     def __init__(
         self,
@@ -42,176 +43,182 @@
         answer_ms: float,
         sync_ms: float,
     ) -> None:
-        """link_ms: least and most delay of a message; answer_ms: a keeper's work for one answer."""
-        self.now, self.random, self.order = 0.0, Random(seed), count()
+        """Create a fleet; its keepers start at once and its instances within the first 100 ms.
+
+        link_ms: minimum and maximum delay of a message; answer_ms: a keeper's processing time per reply;
+        sync_ms: time of a disk write.
+        """
+        self.now, self.random, self.sequence = 0.0, Random(seed), count()
         self.link_ms, self.answer_ms, self.sync_ms = link_ms, answer_ms, sync_ms
-        self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.keepers = [Keeper(k, keepers, DurableState(), seed + k, 0.0) for k in range(keepers)]
         self.reports = [Reports() for _ in range(keepers)]
-        self.stewards = [Reconciler(reports) for reports in self.reports]
-        self.led = [False] * keepers
-        self.busy = [0.0] * keepers  # until when each is at work
-        self.waiting: list[list[tuple[int, RenewRequest]]] = [[] for _ in range(keepers)]
+        self.reconcilers = [Reconciler(reports) for reports in self.reports]
+        self.was_leader = [False] * keepers
+        self.busy_until = [0.0] * keepers  # by keeper: when it has handled all requests so far
+        self.long_polls: list[list[tuple[int, RenewRequest]]] = [[] for _ in range(keepers)]
         self.leases = [Lease(f"{i:08x}", f"i{i}", keepers) for i in range(instances)]
-        self.version = [0] * instances
-        self.share = [0.0] * instances
-        self.cut: set[int] = set()  # instances that reach no keeper
-        self.taken: dict[int, list[float]] = {}  # by version: when each instance began to act on it
+        self.versions = [0] * instances
+        self.shares = [0.0] * instances
+        self.partitioned: set[int] = set()  # instances that can reach no keeper
+        self.applied_at: dict[int, list[float]] = {}  # by version: when instances applied it
         self.outcomes: dict[int, Outcome] = {}
-        self.over_whole = 0.0  # the most by which all shares together passed the whole
-        self.unled = 0
+        self.max_excess_share = 0.0  # the maximum by which the sum of all shares exceeded 1
+        self.without_lease_count = 0  # checks of an instance that acted without a lease
         for k, keeper in enumerate(self.keepers):
-            self._do(k, keeper.begin(0.0))
-            self._at(TICK_MS, self._tick, k)
+            self._carry_out(k, keeper.begin(0.0))
+            self._schedule(TICK_MS, self._run_timer, k)
         for i in range(instances):
             for k in range(keepers):
-                self._at(self.random.random() * 100, self._ask, i, k)
+                self._schedule(self.random.random() * 100, self._send_request, i, k)
 
-    def _at(self, after_ms: float, call: Callable[..., None], *args: Any) -> None:
-        heappush(self.heap, (self.now + after_ms, next(self.order), call, args))
+    def _schedule(self, after_ms: float, call: Callable[..., None], *args: Any) -> None:
+        heappush(self.events, (self.now + after_ms, next(self.sequence), call, args))
 
-    def _link(self) -> float:
+    def _link_delay(self) -> float:
         return self.random.uniform(*self.link_ms)
 
-    def run(self, until: Callable[[], bool], most_ms: float) -> bool:
-        """Until it holds; False where the time ran out first."""
-        end = self.now + most_ms
-        while self.heap and self.now < end:
-            if until():
+    def run(self, condition: Callable[[], bool], max_ms: float) -> bool:
+        """Run until the condition holds; False if it does not within `max_ms`."""
+        end = self.now + max_ms
+        while self.events and self.now < end:
+            if condition():
                 return True
-            at, _, call, args = heappop(self.heap)
+            at, _, call, args = heappop(self.events)
             self.now = max(self.now, at)
             call(*args)
-        return until()
+        return condition()
 
     # ---- keepers
 
-    def _tick(self, k: int) -> None:
-        self._at(TICK_MS, self._tick, k)
+    def _run_timer(self, k: int) -> None:
+        self._schedule(TICK_MS, self._run_timer, k)
         keeper = self.keepers[k]
-        self._do(k, keeper.tick(self.now))
-        if keeper.leads != self.led[k]:
-            self.led[k] = keeper.leads
-            self.stewards[k].reset_waits(self.now)
+        self._carry_out(k, keeper.tick(self.now))
+        if keeper.leads != self.was_leader[k]:
+            self.was_leader[k] = keeper.leads
+            self.reconcilers[k].reset_waits(self.now)
         if keeper.leads and keeper.proposal is None:
-            due = self.stewards[k].next_entry(self.now, keeper.state)
-            if due is not None:
-                self._do(k, keeper.submit(self.now, 0, due))
+            entry = self.reconcilers[k].next_entry(self.now, keeper.state)
+            if entry is not None:
+                self._carry_out(k, keeper.submit(self.now, 0, entry))
 
-    def _do(self, k: int, actions: list[Action]) -> None:
+    def _carry_out(self, k: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                what = action.message
-                if isinstance(what, HeartbeatReply):
-                    what = HeartbeatReply(what.ballot, what.number, self.reports[k].take_unsent(self.now))
-                self._at(self._link() + self.sync_ms, self._hear, action.to, k, what)
+                message = action.message
+                if isinstance(message, HeartbeatReply):
+                    message = HeartbeatReply(
+                        message.ballot, message.number, self.reports[k].take_unsent(self.now)
+                    )
+                self._schedule(self._link_delay() + self.sync_ms, self._on_message, action.to, k, message)
             elif isinstance(action, Outcome):
                 self.outcomes[action.ticket] = action
             elif isinstance(action, EntriesChosen):
-                waiting, self.waiting[k] = self.waiting[k], []
-                for i, asked in waiting:
-                    self._answer(k, i, asked)
+                pending, self.long_polls[k] = self.long_polls[k], []
+                for i, request in pending:
+                    self._send_reply(k, i, request)
 
-    def _hear(self, k: int, sender: int, what: Any) -> None:
-        if isinstance(what, HeartbeatReply):
-            self.reports[k].merge(self.now, what.reports)
-        self._do(k, self.keepers[k].receive(self.now, sender, what))
+    def _on_message(self, k: int, sender: int, message: Any) -> None:
+        if isinstance(message, HeartbeatReply):
+            self.reports[k].merge(self.now, message.reports)
+        self._carry_out(k, self.keepers[k].receive(self.now, sender, message))
 
-    def offer(self, ticket: int, body: Body) -> bool:
-        """Hand the leader something; False where nobody leads."""
+    def submit(self, ticket: int, body: Body) -> bool:
+        """Submit an entry to the leader; False if there is none."""
         for k, keeper in enumerate(self.keepers):
             if keeper.leads:
-                self._do(k, keeper.submit(self.now, ticket, body))
+                self._carry_out(k, keeper.submit(self.now, ticket, body))
                 return True
         return False
 
     def propose(self, ticket: int, document: Document) -> bool:
-        """A version made from the newest."""
+        """Propose a version based on the newest one; False if there is no leader."""
         leader = next((k for k in self.keepers if k.leads), None)
-        return leader is not None and self.offer(
+        return leader is not None and self.submit(
             ticket, Proposed(document, leader.state.newest, "sim", "", f"t{ticket}", self.now)
         )
 
     # ---- instances
 
-    def _ask(self, i: int, k: int) -> None:
-        if i in self.cut:
-            self._at(200.0, self._ask, i, k)
+    def _send_request(self, i: int, k: int) -> None:
+        if i in self.partitioned:
+            self._schedule(200.0, self._send_request, i, k)
             return
         lease = self.leases[i]
-        asked = lease.renew_request(self.now, lease.state.terms.window_ms / WAITS)
-        self._at(self._link(), self._asked, k, i, asked)
+        request = lease.renew_request(self.now, lease.state.terms.window_ms / POLLS_PER_WINDOW)
+        self._schedule(self._link_delay(), self._on_request, k, i, request)
 
-    def _asked(self, k: int, i: int, asked: RenewRequest) -> None:
+    def _on_request(self, k: int, i: int, request: RenewRequest) -> None:
         keeper = self.keepers[k]
         if not keeper.recovered:
-            self._at(100.0, self._ask, i, k)
+            self._schedule(100.0, self._send_request, i, k)
             return
         self.reports[k].record(
             self.now,
             Report(
-                asked.incarnation,
-                asked.name,
-                asked.number,
-                asked.ready_version,
-                asked.apply_error,
-                asked.intent,
+                request.incarnation,
+                request.name,
+                request.number,
+                request.ready_version,
+                request.apply_error,
+                request.intent,
             ),
         )
-        if asked.number == keeper.number and keeper.certain and asked.intent == "stay":
-            self.waiting[k].append((i, asked))
-            self._at(asked.wait_ms, self._waited, k, i, asked)
+        if request.number == keeper.number and keeper.certain and request.intent == "stay":
+            self.long_polls[k].append((i, request))
+            self._schedule(request.wait_ms, self._on_poll_timeout, k, i, request)
         else:
-            self._answer(k, i, asked)
+            self._send_reply(k, i, request)
 
-    def _waited(self, k: int, i: int, asked: RenewRequest) -> None:
-        if (i, asked) in self.waiting[k]:
-            self.waiting[k].remove((i, asked))
-            self._answer(k, i, asked)
+    def _on_poll_timeout(self, k: int, i: int, request: RenewRequest) -> None:
+        if (i, request) in self.long_polls[k]:
+            self.long_polls[k].remove((i, request))
+            self._send_reply(k, i, request)
 
-    def _answer(self, k: int, i: int, asked: RenewRequest) -> None:
+    def _send_reply(self, k: int, i: int, request: RenewRequest) -> None:
         keeper = self.keepers[k]
-        self.busy[k] = max(self.busy[k], self.now) + self.answer_ms
-        answer = RenewReply(
-            asked.sent,
+        self.busy_until[k] = max(self.busy_until[k], self.now) + self.answer_ms
+        reply = RenewReply(
+            request.sent,
             keeper.number,
             keeper.certain,
-            asked.incarnation in keeper.state.members,
+            request.incarnation in keeper.state.members,
             False,
-            keeper.state.join_error(Newcomer(asked.name, asked.incarnation)),
-            keeper.catch_up_since(asked.number),
+            keeper.state.join_error(Newcomer(request.name, request.incarnation)),
+            keeper.catch_up_since(request.number),
         )
-        self._at(self.busy[k] - self.now + self._link(), self._answered, i, k, answer)
+        self._schedule(self.busy_until[k] - self.now + self._link_delay(), self._on_reply, i, k, reply)
 
-    def _answered(self, i: int, k: int, answer: RenewReply) -> None:
+    def _on_reply(self, i: int, k: int, reply: RenewReply) -> None:
         lease = self.leases[i]
-        if i not in self.cut:
-            lease.handle_reply(k, answer)
+        if i not in self.partitioned:
+            lease.handle_reply(k, reply)
             if lease.state.queue:
                 lease.ready_version, lease.apply_error = lease.state.queue[0].version, ""
-        self.look(i)
-        wait = 0.0 if lease.has_lease else lease.state.terms.window_ms / WAITS / 4
-        self._at(wait, self._ask, i, k)
-
-    def look(self, i: int) -> None:
-        """What an instance acts on now."""
-        acting = self.leases[i].effective_settings(self.now)
-        if acting is None or not acting.share:
+        self.refresh(i)
+        wait = 0.0 if lease.has_lease else lease.state.terms.window_ms / POLLS_PER_WINDOW / 4
+        self._schedule(wait, self._send_request, i, k)
+
+    def refresh(self, i: int) -> None:
+        """Update the version and the share that an instance applies now."""
+        effective = self.leases[i].effective_settings(self.now)
+        if effective is None or not effective.share:
             return
-        if not acting.has_lease:
-            self.unled += 1
-        if acting.has_lease and acting.version != self.version[i]:
-            self.version[i] = acting.version
-            self.taken.setdefault(acting.version, []).append(self.now)
-        self.share[i] = acting.share
-
-    def weigh(self) -> None:
-        """Look at all, and at what they act on together."""
+        if not effective.has_lease:
+            self.without_lease_count += 1
+        if effective.has_lease and effective.version != self.versions[i]:
+            self.versions[i] = effective.version
+            self.applied_at.setdefault(effective.version, []).append(self.now)
+        self.shares[i] = effective.share
+
+    def check_total_share(self) -> None:
+        """Update all instances, and the maximum by which their total share exceeds 1."""
         for i in range(len(self.leases)):
-            self.look(i)
-        self.over_whole = max(self.over_whole, sum(self.share) - 1)
+            self.refresh(i)
+        self.max_excess_share = max(self.max_excess_share, sum(self.shares) - 1)
 
     @property
-    def acting(self) -> int:
-        """How many act under a lease."""
+    def leased_count(self) -> int:
+        """The number of instances that have a lease."""
         return sum(lease.has_lease for lease in self.leases)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -395,7 +395,7 @@
         made = make_entry(number + 1, state.chain, Left((f"x{number}",)))
         state.apply(made)
         file.write(Save((1, 0), None, (made,)), state)
-    assert file.replaced and file.size < 1000
+    assert file.compactions and file.size < 1000
     found, _ = LogFile(tmp_path, 300).load()
     assert Keeper(0, 3, found, 1, 0.0).state.number == 20
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,6 +1,7 @@
-"""Keepers and instances as processes together, with faults between them. Verdicts rest on histories, not on speed.
+"""Tests of keepers and instances that run as processes, with faults on the links between them.
 
-Stands behind the tests that start processes without gevent: its watch over children would race with theirs.
+Verdicts are derived from recorded histories, not from timing. The file must sort after the tests that start
+processes without gevent, since gevent's child watcher would race with their waiting for child processes.
 """
 
 from __future__ import annotations
@@ -25,17 +26,17 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Any]:
-    made: list[AgreedFleet] = []
+    fleets: list[AgreedFleet] = []
 
-    def make(start: bool = True, terms: dict[str, Any] = TERMS, **how: Any) -> AgreedFleet:
-        made.append(AgreedFleet(tmp_path, terms=terms, **how))
+    def make(start: bool = True, terms: dict[str, Any] = TERMS, **options: Any) -> AgreedFleet:
+        fleets.append(AgreedFleet(tmp_path, terms=terms, **options))
         if start:
-            made[-1].start()
-        return made[-1]
+            fleets[-1].start()
+        return fleets[-1]
 
     yield make
-    for one in made:
-        one.stop()
+    for started in fleets:
+        started.stop()
 
 
 def fault(**fields: Any) -> LinkFault:
@@ -47,19 +48,19 @@
     return {h.name: h for h in state.held.values()} if state else {}
 
 
-def test_a_version_is_in_force_everywhere_and_nobody_acts_on_another_beside_it(fleet: Any) -> None:
+def test_version_takes_effect_on_all_instances_without_contradictions(fleet: Any) -> None:
     f = fleet()
     f.keepers.spoil("instance 2", "*", fault(kind="delay", way="back", delay_ms=300))
     f.keepers.spoil("instance 1", "keeper 0", fault(kind="throttle", bytes_per_s=20_000))
     for _ in range(2):
         version = f.propose()
         f.keepers.until(lambda v=version: f.all_show(v))
-    seen = f.contradictions()
-    assert seen.looked_at > 50 and not seen.breaches
-    assert sorted(seen.spread_ms) == [1, 2, 3]
+    result = f.contradictions()
+    assert result.looked_at > 50 and not result.breaches
+    assert sorted(result.spread_ms) == [1, 2, 3]
 
 
-def test_an_instance_that_outlives_its_lease_is_found(fleet: Any) -> None:
+def test_instance_that_acts_beyond_its_lease_is_detected(fleet: Any) -> None:
     f = fleet(instances=2, faulty={"instance 1": "a lease never ends"})
     f.keepers.cut_off("instance 1")
     version = f.propose()
@@ -68,14 +69,14 @@
     assert {b["instance"] for b in f.contradictions().breaches} == {1}
 
 
-def test_half_of_the_instances_without_a_majority_lose_their_lease_and_serve_on(fleet: Any) -> None:
+def test_instances_that_reach_no_majority_lose_their_lease_and_continue_to_serve(fleet: Any) -> None:
     f = fleet(instances=4)
     for near in ("instance 2", "instance 3"):
         for far in ("keeper 0", "keeper 1"):
             f.keepers.spoil(near, far, fault(kind="cut"))
     version = f.propose(plans=[{"name": "corner", "rate": 9, "burst": 20}])
     f.keepers.until(lambda: f.all_show(version, (0, 1)))
-    for i in (2, 3):  # they answer, and do not act on what needs a lease
+    for i in (2, 3):  # they answer, but reject requests that need a lease
         f.keepers.until(lambda i=i: f.status(i, version) == 503)
     assert not f.contradictions().breaches
     f.keepers.heal()
@@ -83,7 +84,7 @@
 
 
 @pytest.mark.parametrize("way", ["there", "back"])
-def test_one_way_cuts_end_a_lease_as_both_do(fleet: Any, way: str) -> None:
+def test_one_way_partition_ends_a_lease(fleet: Any, way: str) -> None:
     f = fleet(instances=2)
     f.keepers.cut_off("instance 1", way)
     version = f.propose()
@@ -93,10 +94,11 @@
     f.keepers.until(lambda: f.all_show(version))
 
 
-def test_a_leader_that_hears_nobody_makes_room_and_what_was_acknowledged_stays(fleet: Any) -> None:
+def test_leader_that_receives_no_messages_steps_down_and_acknowledged_versions_survive(fleet: Any) -> None:
     f = fleet(instances=1)
     leader = f.keepers.leader()
-    f.keepers.cut_off(f"keeper {leader}", "back")  # it is heard, and hears no other keeper
+    # its messages reach the other keepers, but it receives none
+    f.keepers.cut_off(f"keeper {leader}", "back")
     version = f.propose()
     f.keepers.until(lambda: f.shows(0, version))
     f.keepers.heal()
@@ -105,7 +107,7 @@
     assert [n.status for n in f.keepers.look().history] == ["in force"] * 3
 
 
-def test_a_minority_commits_nothing(fleet: Any) -> None:
+def test_minority_of_keepers_commits_nothing(fleet: Any) -> None:
     f = fleet(instances=1)
     f.keepers.kill(0)
     f.keepers.kill(1)
@@ -118,16 +120,16 @@
     f.keepers.until(lambda: f.shows(0, f.propose()))
 
 
-def test_a_wiped_keeper_and_one_with_yesterdays_disk_are_filled_in_before_they_count(fleet: Any) -> None:
+def test_keepers_with_a_wiped_or_outdated_disk_catch_up_before_they_vote(fleet: Any) -> None:
     f = fleet(instances=1)
-    old = f.keepers.save_disk(1)
+    old_disk = f.keepers.save_disk(1)
     version = f.propose()
     f.keepers.kill(1)
-    f.keepers.restore_disk(1, old)
+    f.keepers.restore_disk(1, old_disk)
     f.keepers.kill(0, wipe=True)
     f.keepers.kill(2)
     f.keepers.restart((0, 1))
-    # neither may vote, whatever they say to each other: the one that knows is away
+    # neither may vote: only keeper 2, which is down, has the last version
     with pytest.raises(NoAnswer):
         f.keepers.propose(f.document, 1, seconds=2.0)
     f.keepers.restart((2,))
@@ -137,7 +139,7 @@
     f.keepers.until(lambda: f.shows(0, f.propose()))
 
 
-def test_all_keepers_restarted_at_once_go_on_where_they_were(fleet: Any) -> None:
+def test_all_keepers_restarted_at_once_resume_from_disk(fleet: Any) -> None:
     f = fleet(instances=2)
     version = f.propose()
     for k in range(3):
@@ -149,7 +151,7 @@
     assert not f.contradictions().breaches
 
 
-def test_a_keeper_whose_disk_is_full_is_silent_and_comes_back(fleet: Any) -> None:
+def test_keeper_with_a_full_disk_stops_voting_and_recovers(fleet: Any) -> None:
     f = fleet(instances=1)
     leader = f.keepers.leader()
     f.keepers.fill_disk(leader, True)
@@ -158,15 +160,15 @@
     assert leader not in f.keepers.voting()
     f.keepers.fill_disk(leader, False)
     f.keepers.until(lambda: leader in f.keepers.voting())
-    f.keepers.kill((leader + 1) % 3)  # now the mended one is needed for a majority
+    f.keepers.kill((leader + 1) % 3)  # now the recovered keeper is needed for a majority
     f.keepers.until(lambda: f.shows(0, f.propose()))
 
 
-def test_an_instance_stopped_in_a_change_of_their_number_finds_out_before_it_acts(fleet: Any) -> None:
+def test_instance_suspended_during_a_membership_change_catches_up_before_it_acts(fleet: Any) -> None:
     f = fleet(start=False, instances=4)
     f.start(range(3))
     f.halt(2)
-    f.begin((3,))  # the change waits until the stopped one is known to be lost
+    f.begin((3,))  # the change is not settled until the suspended instance is known to be lost
     version = f.propose()
     f.keepers.until(lambda: f.all_show(version, (0, 1, 3)))
     share = held(f)["i2"].share
@@ -181,13 +183,13 @@
     assert sorted(places) == [0, 1, 2, 3]
 
 
-def test_two_operators_at_once_and_an_answer_that_is_lost(fleet: Any) -> None:
+def test_concurrent_proposals_conflict_and_a_retried_proposal_is_applied_once(fleet: Any) -> None:
     f = fleet(instances=1)
-    jobs = [gevent.spawn(f.keepers.propose, f.document, 1, author=who) for who in ("ann", "bob")]
-    told = [job.get() for job in jobs]
-    assert sorted(t.version for t in told) == [0, 2]
-    assert "came meanwhile" in next(t.reason for t in told if not t.version)
-    # the same proposal said again, as after a lost answer, is the same version
+    jobs = [gevent.spawn(f.keepers.propose, f.document, 1, author=author) for author in ("ann", "bob")]
+    replies = [job.get() for job in jobs]
+    assert sorted(reply.version for reply in replies) == [0, 2]
+    assert "came meanwhile" in next(reply.reason for reply in replies if not reply.version)
+    # a proposal that is retried with the same token, as after a lost reply, is the same version
     first = f.keepers.propose(f.document, 2, token="once")
     again = f.keepers.propose(f.document, 2, token="once")
     assert first.version == again.version == 3
@@ -195,7 +197,7 @@
     assert [n.version for n in f.keepers.look().history] == [1, 2, 3]
 
 
-def test_five_changes_in_a_row_come_in_force_in_order(fleet: Any) -> None:
+def test_five_queued_versions_take_effect_in_order(fleet: Any) -> None:
     f = fleet(instances=2)
     for rate in (5, 7, 3, 9, 4):
         f.propose(wait=False, plans=[{"name": "corner", "rate": rate, "burst": 20}])
@@ -205,23 +207,24 @@
     assert not f.contradictions().breaches
 
 
-def test_what_some_cannot_apply_is_dropped_with_their_reason_unless_forced(fleet: Any) -> None:
-    # its own margin is longer than the deadline that the next version gives
+def test_version_that_an_instance_cannot_apply_is_dropped_unless_forced(fleet: Any) -> None:
+    # the local answer margin of instance 1 exceeds the deadline in the next version
     f = fleet(instances=2, local={1: {"limits": {"answer_margin_ms": 900}}})
     classes = [DOCUMENT["classes"][0] | {"deadline_ms": 800}]
-    told = f.keepers.propose(f.document | {"classes": classes})
+    reply = f.keepers.propose(f.document | {"classes": classes})
     f.keepers.until(lambda: f.keepers.look().history[-1].status != "pending")
     note = f.keepers.look().history[-1]
     assert note.status.startswith("dropped: i1: classes[0].deadline_ms") and f.keepers.look().version == 1
-    forced = f.keepers.tell("force", told.version)
+    forced = f.keepers.tell("force", reply.version)
     assert forced.version == 3
     f.keepers.in_force(forced.version)
     f.newest = 3
-    f.keepers.until(lambda: f.shows(0, 2))  # the mark that it was proposed with
-    assert not f.shows(1, 2)  # it has no lease, since it can't apply what is in force
+    # the marker in the forced document is still that of version 2
+    f.keepers.until(lambda: f.shows(0, 2))
+    assert not f.shows(1, 2)  # it has no lease, since it can't apply the version in force
 
 
-def test_an_instance_without_keepers_serves_from_its_copy_and_one_without_a_copy_says_why_not(
+def test_instance_without_keepers_starts_from_its_saved_state_or_fails_with_a_reason(
     fleet: Any,
 ) -> None:
     f = fleet(start=False, instances=3, local={i: {"agreement": {"join_ms": 1500}} for i in (1, 2)})
@@ -232,12 +235,12 @@
     f.begin((1,))
     acting = f.logged("instance 1", "agreement.acting")[-1]
     assert not acting["led"] and acting["gateways"] >= 1 / (TERMS["least_share"] * 0.1) - 1
-    assert f.programs[2].start  # no copy, no keeper
+    assert f.programs[2].start  # neither a saved state nor a keeper
     with pytest.raises(RuntimeError, match="no keeper answered, and there is no copy"):
         f.begin((2,))
 
 
-def test_a_killed_instance_has_its_share_back_at_once_and_a_leaver_gives_it_up(fleet: Any) -> None:
+def test_restarted_instance_regains_its_share_and_a_leaving_one_releases_it(fleet: Any) -> None:
     f = fleet(instances=3)
     f.kill(1)
     f.begin((1,))
@@ -249,7 +252,7 @@
     assert sorted(m.index for m in f.keepers.look().members.values()) == [0, 1]
 
 
-def test_clocks_that_are_wrong_by_far_or_stepped_change_nothing(fleet: Any) -> None:
+def test_skewed_drifting_and_stepped_clocks_have_no_effect(fleet: Any) -> None:
     import signal
 
     f = fleet(
@@ -263,7 +266,7 @@
     assert not f.contradictions().breaches and not f.logged("instance 1", "agreement.other_past")
 
 
-def test_what_a_person_does_by_the_command(fleet: Any, tmp_path: Path) -> None:
+def test_settings_commands(fleet: Any, tmp_path: Path) -> None:
     f = fleet(instances=2)
     base = [
         "settings",
@@ -273,25 +276,25 @@
         str(tmp_path / "state" / "fleet.key"),
     ]
 
-    def run(*words: str, status: int = 0) -> str:
-        program = subprocess.run(
-            [sys.executable, "-m", "tamarindfold.cli.main", *base, *words],
+    def run(*arguments: str, status: int = 0) -> str:
+        process = subprocess.run(
+            [sys.executable, "-m", "tamarindfold.cli.main", *base, *arguments],
             capture_output=True,
             text=True,
             check=False,
         )
-        assert program.returncode == status, program.stderr
-        return program.stdout + program.stderr
+        assert process.returncode == status, process.stderr
+        return process.stdout + process.stderr
 
     shown = run("show")
     assert "name: corner" in shown
     file = tmp_path / "next.yaml"
     file.write_text(shown.replace("rate: 6.0", "rate: 9.0"))
-    said = run("propose", str(file), "--reason", "more for all", "--author", "ann", "--wait")
-    assert said.splitlines()[0] == "version 2 proposed" and said.splitlines()[-1] == "version 2 in force"
+    output = run("propose", str(file), "--reason", "more for all", "--author", "ann", "--wait")
+    assert output.splitlines()[0] == "version 2 proposed" and output.splitlines()[-1] == "version 2 in force"
     assert "plans[corner].rate: 6.0 -> 9.0" in run("diff", "1", "2")
     assert "ann: more for all  [in force]" in run("history")
-    assert "i0" in (who := run("who")) and "i1" in who and "version 2 in force" in who
+    assert "i0" in (members := run("who")) and "i1" in members and "version 2 in force" in members
     assert "came meanwhile" in run("propose", str(file), "--reason", "late", "--base", "1", status=1)
     file.write_text(shown.replace("name: corner", "name: other"))
     assert "keep their places" in run("propose", str(file), "--reason", "renamed", status=1)
@@ -300,17 +303,18 @@
     assert "version 7 is not kept" in run("show", "--version", "7", status=2)
 
 
-def test_a_version_goes_to_a_part_first_and_a_lost_one_is_retired(fleet: Any) -> None:
+def test_canary_rollout_and_retirement_of_a_lost_instance(fleet: Any) -> None:
     f = fleet(instances=3, terms=TERMS | {"unled_ms": 3_600_000})
     state = f.keepers.look()
-    contrary = f.keepers.propose(f.document, 1, first=("i1",))  # its mark is in place of the other's
-    assert not contrary.version and "contradicts nothing" in contrary.reason
-    plain = msgspec.structs.replace(
+    # its marker route replaces that of the version in force, so the two versions contradict each other
+    rejected = f.keepers.propose(f.document, 1, first=("i1",))
+    assert not rejected.version and "contradicts nothing" in rejected.reason
+    compatible_document = msgspec.structs.replace(
         state.document, classes=[msgspec.structs.replace(state.document.classes[0], aim_ms=700.0)]
     )
-    told = f.keepers.say(wire.Proposal(plain, 1, "ann", "a trial", "trial", ("i1",)))
+    reply = f.keepers.say(wire.Proposal(compatible_document, 1, "ann", "a trial", "trial", ("i1",)))
     f.keepers.until(lambda: f.keepers.look().phase == "first")
-    assert f.keepers.look().version == 1 and told.version == 2
+    assert f.keepers.look().version == 1 and reply.version == 2
     assert f.keepers.tell("widen", 2).version == 2
     f.keepers.in_force(2)
     f.kill(2)
