--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Sets up its own environment; everything below works on a fresh machine with Python 3.11 and a package index.
+# Every target sets up the environment that it needs: a machine with Python 3.11 and a package index suffices.
 PY = .venv/bin/python
 OUT = out/bad-day
 
--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,7 +1,9 @@
-"""What agreement takes and what it keeps: processes on loopback with faults between them, and simulated time.
+"""Agreement on settings: commit, rollout and failover times, and contradictions under faults.
 
-`python benchmarks/agreement.py [--json] [--quick]`. Contradictions are read from histories of probes, beside
-the same faults with an instance whose lease never ends. The machine is noisy; figures are of one run.
+`python benchmarks/agreement.py [--json] [--quick]`. Fleets of real processes run on loopback with relays that
+inject faults; larger fleets run in simulated time. A contradiction is an instance that acts on an old version
+while another acts on a newer one. It is measured by probes, with leases and, for comparison, with an instance
+whose lease never ends. Figures are of a single run and vary with the load of the machine.
 """
 
 from __future__ import annotations
@@ -32,146 +34,157 @@
 from tamarindfold.rehearsal.relay import LinkFault
 
 WINDOW_MS = 2_000.0
+EVENTS_PER_REQUEST = 4  # for the decision module: arrival, count, its answer, the end of the attempt
 TERMS = {"window_ms": WINDOW_MS, "unled_ms": 1_500, "least_share": 0.01}
-ENDLESS = "a lease never ends"
+ENDLESS_LEASE = "a lease never ends"  # a fault that the program of an instance accepts
 
 
-def percentile(values: list[float], part: float) -> float:
-    """The value that this part of all do not pass."""
+def percentile(values: list[float], fraction: float) -> float:
+    """The value at this fraction of the sorted values; 0 without values."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
 
 @contextmanager
-def fleet(instances: int, **how: Any) -> Iterator[AgreedFleet]:
-    """A fleet of processes that serves."""
+def running_fleet(instances: int, **options: Any) -> Iterator[AgreedFleet]:
+    """A fleet of processes, started and serving; stopped at the end."""
     with tempfile.TemporaryDirectory() as folder:
-        made = AgreedFleet(Path(folder), instances=instances, terms=TERMS, **how)
+        fleet = AgreedFleet(Path(folder), instances=instances, terms=TERMS, **options)
         try:
-            made.start()
-            yield made
+            fleet.start()
+            yield fleet
         finally:
-            made.stop()
+            fleet.stop()
 
 
-def fault(**fields: Any) -> LinkFault:
-    """A fault of a link."""
+def link_fault(**fields: Any) -> LinkFault:
     return msgspec.convert(fields, LinkFault)
 
 
-def commits(changes: int) -> list[float]:
-    """Milliseconds from a proposal to its being on a majority's disks, as an operator sees it."""
-    took = []
-    with fleet(3) as f:
+def commit_times_ms(changes: int) -> list[float]:
+    """Times from a proposal until it is on the disks of a majority, as an operator sees them."""
+    durations_ms = []
+    with running_fleet(3) as fleet:
         for rate in range(changes):
-            changed = f.document | {"plans": [{"name": "corner", "rate": 5 + rate % 3, "burst": 20}]}
-            base = f.keepers.look()
+            changed = fleet.document | {"plans": [{"name": "corner", "rate": 5 + rate % 3, "burst": 20}]}
+            base = fleet.keepers.look()
             began = time.perf_counter()
-            f.keepers.propose(changed, base.newest if base else 0)
-            took.append((time.perf_counter() - began) * 1000)
-    return took
+            fleet.keepers.propose(changed, base.newest if base else 0)
+            durations_ms.append((time.perf_counter() - began) * 1000)
+    return durations_ms
 
 
-def spreads(instances: int, changes: int) -> tuple[list[float], list[float]]:
-    """Milliseconds from a version's first sight at any instance to its first at the last one; and from the
-    proposal to that. Probes come every 20 ms, at 40 instances every 100 ms: so coarse the figures are."""
-    with fleet(instances) as f:
+def rollout_times_ms(instances: int, changes: int) -> tuple[list[float], list[float]]:
+    """Times from the first to the last instance that acts on a version; and from its proposal to the last.
+
+    The resolution is the probe interval: 20 ms, at 40 instances 100 ms.
+    """
+    with running_fleet(instances) as fleet:
         for rate in range(changes):
-            version = f.propose(plans=[{"name": "corner", "rate": 5 + rate % 3, "burst": 20}])
-            f.keepers.until(lambda v=version: f.all_show(v))  # type: ignore[misc]
-        history = f.history()
-        last: dict[int, dict[int, float]] = {}
+            version = fleet.propose(plans=[{"name": "corner", "rate": 5 + rate % 3, "burst": 20}])
+            fleet.keepers.until(lambda v=version: fleet.all_show(v))  # type: ignore[misc]
+        history = fleet.history()
+        first_seen: dict[int, dict[int, float]] = {}  # by version and instance
         for entry in history:
             if entry["what"] == "mark" and entry["status"] == 401:
-                last.setdefault(entry["mark"], {}).setdefault(entry["index"], entry["t"])
-        took = [
-            max(last[e["version"]].values()) - e["began"]
+                first_seen.setdefault(entry["mark"], {}).setdefault(entry["index"], entry["t"])
+        from_proposal_ms = [
+            max(first_seen[e["version"]].values()) - e["began"]
             for e in history
             if e["what"] == "proposed" and e["version"] > 1
         ]
-        return [spread for version, spread in f.contradictions().spread_ms.items() if version > 1], took
+        return [
+            spread for version, spread in fleet.contradictions().spread_ms.items() if version > 1
+        ], from_proposal_ms
 
 
-def resumes(times: int) -> list[float]:
-    """Milliseconds from the leader's death to the next version on a majority's disks."""
-    took = []
-    with fleet(1) as f:
+def failover_times_ms(times: int) -> list[float]:
+    """Times from killing the leader until the next version is on the disks of a majority."""
+    durations_ms = []
+    with running_fleet(1) as fleet:
         for _ in range(times):
-            leader = f.keepers.leader()
-            base = f.keepers.look()
-            f.keepers.kill(leader)
+            leader = fleet.keepers.leader()
+            base = fleet.keepers.look()
+            fleet.keepers.kill(leader)
             began = time.perf_counter()
-            f.keepers.propose(f.document, base.newest if base else 0)
-            took.append((time.perf_counter() - began) * 1000)
-            f.keepers.restart([leader])
-            f.keepers.until(lambda: len(f.keepers.voting()) == 3 and f.keepers.leader() >= 0)
-    return took
+            fleet.keepers.propose(fleet.document, base.newest if base else 0)
+            durations_ms.append((time.perf_counter() - began) * 1000)
+            fleet.keepers.restart([leader])
+            fleet.keepers.until(lambda: len(fleet.keepers.voting()) == 3 and fleet.keepers.leader() >= 0)
+    return durations_ms
 
 
-def _cut(way: str) -> Callable[[AgreedFleet], None]:
-    return lambda f: f.keepers.cut_off("instance 2", way)
+def _cut_links(way: str) -> Callable[[AgreedFleet], None]:
+    return lambda fleet: fleet.keepers.cut_off("instance 2", way)
 
 
-def _stop(f: AgreedFleet) -> None:
-    f.halt(2)
-    gevent.spawn_later(4.5, f.wake, 2)
+def _suspend(fleet: AgreedFleet) -> None:
+    fleet.halt(2)
+    gevent.spawn_later(4.5, fleet.wake, 2)
 
 
-def _slow(f: AgreedFleet) -> None:
-    f.keepers.spoil("instance 2", "*", fault(kind="delay", delay_ms=200, jitter_ms=300))
+def _delay_links(fleet: AgreedFleet) -> None:
+    fleet.keepers.spoil("instance 2", "*", link_fault(kind="delay", delay_ms=200, jitter_ms=300))
 
 
-def _stall(f: AgreedFleet) -> None:
-    f.keepers.spoil("instance 2", "*", fault(kind="stall", for_ms=4_000))
+def _stall_links(fleet: AgreedFleet) -> None:
+    fleet.keepers.spoil("instance 2", "*", link_fault(kind="stall", for_ms=4_000))
 
 
+# each affects instance 2
 FAULTS: dict[str, Callable[[AgreedFleet], None]] = {
-    "cut": _cut("both"),
-    "cut there": _cut("there"),
-    "cut back": _cut("back"),
-    "stopped": _stop,
-    "slow": _slow,
-    "stalled": _stall,
+    "cut": _cut_links("both"),
+    "cut there": _cut_links("there"),
+    "cut back": _cut_links("back"),
+    "stopped": _suspend,
+    "slow": _delay_links,
+    "stalled": _stall_links,
 }
 
 
-def contradiction(name: str, endless: bool) -> float:
-    """The longest contradiction that a history shows: a version changes while one instance has this fault."""
-    how: dict[str, Any] = {"faulty": {"instance 2": ENDLESS}} if endless else {}
-    how["skews"] = {} if endless else {"instance 2": (5_000.0, -0.01)}
-    with fleet(3, **how) as f:
-        FAULTS[name](f)
-        version = f.propose(plans=[{"name": "corner", "rate": 9, "burst": 20}])
-        f.keepers.until(lambda: f.all_show(version, (0, 1)))
+def longest_contradiction_ms(name: str, endless_lease: bool) -> float:
+    """The longest contradiction when a version changes while instance 2 has this fault.
+
+    endless_lease: the lease of instance 2 never ends; else its wall clock is 5 s ahead
+    and its clocks run 1% slow.
+    """
+    options: dict[str, Any] = {"faulty": {"instance 2": ENDLESS_LEASE}} if endless_lease else {}
+    options["skews"] = {} if endless_lease else {"instance 2": (5_000.0, -0.01)}
+    with running_fleet(3, **options) as fleet:
+        FAULTS[name](fleet)
+        version = fleet.propose(plans=[{"name": "corner", "rate": 9, "burst": 20}])
+        fleet.keepers.until(lambda: fleet.all_show(version, (0, 1)))
         gevent.sleep(2 * WINDOW_MS / 1000)
-        return f.contradictions().max_ms
+        return fleet.contradictions().max_ms
+
 
+def simulate(instances: int, changes: int) -> dict[str, float]:
+    """Rollouts and a partition in simulated time.
 
-def simulated(instances: int, changes: int) -> dict[str, float]:
-    """Simulated time: links of 0.2 to 2 ms, 0.3 ms of a keeper's work for an answer, 1 ms for its disk."""
+    Links delay messages by 0.2 to 2 ms; a keeper takes 0.3 ms to answer and 1 ms to sync its disk.
+    """
 
     def document(rate: float) -> Any:
-        made = leases.document(rate)
+        base = leases.document(rate)
         terms = msgspec.structs.replace(
-            made.terms, most_instances=400, window_ms=WINDOW_MS, unled_ms=5_000, least_share=1e-4
+            base.terms, most_instances=400, window_ms=WINDOW_MS, unled_ms=5_000, least_share=1e-4
         )
-        return msgspec.structs.replace(made, terms=terms)
+        return msgspec.structs.replace(base, terms=terms)
 
     sim = SimulatedFleet(instances, 3, 1, (0.2, 2.0), 0.3, 1.0)
     sim.run(lambda: any(k.leads for k in sim.keepers), 5_000)
     sim.propose(1, document(8.0))
     sim.run(lambda: sim.leased_count == instances, 30_000)
-    acting_ms, spread, took = sim.now, [], []
+    acting_ms, spreads, durations_ms = sim.now, [], []
     for version in range(2, changes + 2):
         began = sim.now
         sim.propose(version, document(6.0 + version % 3))
         sim.run(lambda v=version: len(sim.applied_at.get(v, ())) == instances, 20_000)  # type: ignore[misc]
-        spread.append(max(sim.applied_at[version]) - min(sim.applied_at[version]))
-        took.append(sim.now - began)
+        spreads.append(max(sim.applied_at[version]) - min(sim.applied_at[version]))
+        durations_ms.append(sim.now - began)
         sim.check_total_share()
-    sim.partitioned = set(
-        range(0, instances, 10)
-    )  # a tenth reaches no keeper any more, and a version is changed
+    # a tenth of the instances loses the connection to all keepers before the next version
+    sim.partitioned = set(range(0, instances, 10))
     sim.propose(changes + 2, document(9.0))
     for _ in range(60):
         sim.run(lambda: False, 200.0)
@@ -181,85 +194,86 @@
     sim.check_total_share()
     return {
         "all_acting_ms": acting_ms,
-        "spread_ms_max": max(spread),
-        "in_force_ms_max": max(took),
+        "spread_ms_max": max(spreads),
+        "in_force_ms_max": max(durations_ms),
         "sum_over_whole_max": round(sim.max_excess_share, 9),
     }
 
 
-class _Before(Core):
-    """Without the look at the lease."""
+class _CoreWithoutLeaseCheck(Core):
+    """The core without its check of the lease, for comparison."""
 
     def on_loop_turn(self, heartbeat: bool = True) -> None:
         now = self.clock()
-        gone = now - self.last_turn_ms
-        if gone > self.stall_ms and self.resumed.is_set():
-            raise AssertionError("no standstill here")
-        if heartbeat or gone > self.stall_ms:
+        elapsed_ms = now - self.last_turn_ms
+        if elapsed_ms > self.stall_ms and self.resumed.is_set():
+            raise AssertionError("the benchmark's clock stands still: there can be no stall")
+        if heartbeat or elapsed_ms > self.stall_ms:
             self.last_turn_ms = now
 
 
-def added_ns() -> float:
-    """Nanoseconds that the look at the lease takes, once for each event that is handed to the module."""
+def lease_check_ns() -> float:
+    """Nanoseconds that the check of the lease takes; it runs for each event for the decision module."""
     gateway = Gateway(
         Settings(1, 0, (RequestClass(100, 1000, 1, Effect.SAFE),), (Plan(0, 0),), 1, 1.0, 0.0, 1.0, 1.0, 0.0),
         1,
     )
-    made = [kind(gateway, lambda: 0.0, lambda *_, **__: None) for kind in (Core, _Before)]
-    made[0].lease_until_ms = 1e18
+    cores = [cls(gateway, lambda: 0.0, lambda *_, **__: None) for cls in (Core, _CoreWithoutLeaseCheck)]
+    cores[0].lease_until_ms = 1e18
     number = 200_000
-    took = [min(timeit.repeat(partial(core.on_loop_turn, False), number=number, repeat=9)) for core in made]
-    return (took[0] - took[1]) / number * 1e9
+    durations_s = [
+        min(timeit.repeat(partial(core.on_loop_turn, False), number=number, repeat=9)) for core in cores
+    ]
+    return (durations_s[0] - durations_s[1]) / number * 1e9
 
 
 def main() -> None:
-    """Entry point."""
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--json", action="store_true")
-    words.add_argument("--quick", action="store_true", help="fewer repeats, at most 10 instances")
-    asked = words.parse_args()
-    quick = asked.quick
-
-    def say(text: str) -> None:
+    """Run all measurements; exit with status 1 if the model check failed."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--json", action="store_true")
+    parser.add_argument("--quick", action="store_true", help="fewer repeats, at most 10 processes")
+    args = parser.parse_args()
+    quick = args.quick
+
+    def show_progress(text: str) -> None:
         print(text, file=sys.stderr, flush=True)
 
     out: dict[str, Any] = {}
-    say("commits ...")
-    took = commits(10 if quick else 60)
-    for part in (50, 99):
-        out[f"commit_ms_p{part}"] = round(percentile(took, part / 100), 1)
+    show_progress("commit times ...")
+    commit_ms = commit_times_ms(10 if quick else 60)
+    for percent in (50, 99):
+        out[f"commit_ms_p{percent}"] = round(percentile(commit_ms, percent / 100), 1)
     out["in_force_spread_ms"] = {}
     for instances in (3, 10) if quick else (3, 10, 40):
-        say(f"in force at {instances} processes ...")
-        found, whole = spreads(instances, 4 if quick else 12)
+        show_progress(f"rollout times with {instances} processes ...")
+        rollout_ms, from_proposal_ms = rollout_times_ms(instances, 4 if quick else 12)
         out["in_force_spread_ms"][str(instances)] = {
-            "p99": round(percentile(found, 0.99), 1),
-            "max": round(max(found), 1),
-            "changes": len(found),
-            "proposal_to_everywhere_p50": round(percentile(whole, 0.5), 1),
-            "proposal_to_everywhere_max": round(max(whole), 1),
+            "p99": round(percentile(rollout_ms, 0.99), 1),
+            "max": round(max(rollout_ms), 1),
+            "changes": len(rollout_ms),
+            "proposal_to_everywhere_p50": round(percentile(from_proposal_ms, 0.5), 1),
+            "proposal_to_everywhere_max": round(max(from_proposal_ms), 1),
         }
-    say("350 in simulated time ...")
-    out["simulated_350"] = simulated(350, 10)
+    show_progress("350 instances in simulated time ...")
+    out["simulated_350"] = simulate(350, 10)
     out["sum_over_whole_max"] = out["simulated_350"]["sum_over_whole_max"]
     out["contradiction_ms_max"], out["contradiction_ms_max_without_leases"] = {}, {}
     for name in list(FAULTS)[:2] if quick else FAULTS:
-        say(f"contradiction: {name} ...")
-        out["contradiction_ms_max"][name] = round(contradiction(name, False), 1)
-        out["contradiction_ms_max_without_leases"][name] = round(contradiction(name, True), 1)
+        show_progress(f"contradictions with fault {name} ...")
+        out["contradiction_ms_max"][name] = round(longest_contradiction_ms(name, False), 1)
+        out["contradiction_ms_max_without_leases"][name] = round(longest_contradiction_ms(name, True), 1)
     out["window_ms"] = WINDOW_MS
-    say("leaders lost ...")
+    show_progress("failover times ...")
     try:
-        back = resumes(2 if quick else 8)
+        failover_ms = failover_times_ms(2 if quick else 8)
     except NoAnswer as error:
-        sys.exit(f"no leader came: {error}")
-    out["resume_ms_after_keeper_loss_p99"] = round(percentile(back, 0.99), 1)
-    # a request hands the module some four events (arrival, count, its answer, the attempt's end)
-    out["us_per_request_added"] = round(4 * added_ns() / 1000, 3)
-    say("model check ...")
+        sys.exit(f"no leader was elected: {error}")
+    out["resume_ms_after_keeper_loss_p99"] = round(percentile(failover_ms, 0.99), 1)
+    out["us_per_request_added"] = round(EVENTS_PER_REQUEST * lease_check_ns() / 1000, 3)
+    show_progress("model check ...")
     model = check(0.1 if quick else 0.5, 1, 8)
     out |= {k: model[k] for k in ("model_states", "model_states_per_s", "planted", "planted_found", "passed")}
-    print(json.dumps(out, indent=2) if asked.json else "\n".join(f"{k}: {v}" for k, v in out.items()))
+    print(json.dumps(out, indent=2) if args.json else "\n".join(f"{k}: {v}" for k, v in out.items()))
     sys.exit(0 if model["passed"] else 1)
 
 
--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -1,7 +1,7 @@
-"""The client library against plain clients: reconnects after a mass restart, goodput, overhead.
+"""The client library against plain clients: reconnects after a mass restart, goodput and CPU overhead.
 
-Reconnects and goodput are simulated time through the library's own core, with the same seeds for both sides;
-the overhead is measured over loopback against bare httpx in the same run.
+Reconnects and goodput are simulated with the library's own core, with the same seeds for both sides. The
+overhead is measured over loopback against httpx alone in the same run.
 """
 
 from __future__ import annotations
@@ -44,45 +44,56 @@
     Send,
     Settings,
 )
-from tamarindfold.interface import Outcome as How
+from tamarindfold.interface import Outcome as AttemptOutcome
 
-SLOT_MS = 100.0
+SLOT_MS = 100.0  # reconnects are counted per slot
+RESTART_SPREAD_MS = 50  # the restart reaches all clients within this time
+PLAIN_PAUSE_MS = 1_000  # between the reconnects of a plain client
+CALL_DEADLINE_MS = 4_000
+SERVERS = 8
+WORK_MS = 40.0  # mean work of a request
+SURGE_LOAD = 3.0  # offered load, relative to the capacity of the servers
+NORMAL_LOAD = 0.7
 
 
 # ---- reconnects
 
 
-def reconnects(clients: int, gateways: int, down_ms: float, seed: int) -> tuple[list[float], list[float]]:
-    """When clients with kept connections try again after all gateways restarted: the library's, and plain
-    ones that come back at once and then every second."""
+def reconnect_times(
+    clients: int, gateways: int, down_ms: float, seed: int
+) -> tuple[list[float], list[float]]:
+    """When clients reconnect after all gateways restarted and are down for down_ms.
+
+    First those of the library, then of plain clients that reconnect at once and then every second.
+    """
     library, plain = [], []
     names = [f"g{i}" for i in range(gateways)]
     for i in range(clients):
         random = Random(f"{seed}/{i}")
-        own = ReconnectSchedule(f"till-{i}", 5_000, 200, 30_000, random.random)
+        schedule = ReconnectSchedule(f"till-{i}", 5_000, 200, 30_000, random.random)
         gateway = Gateways(names, f"till-{i}", random.random).order[0]
-        now = own.connection_lost(random.random() * 50, gateway)  # the restart reaches all within 50 ms
+        now = schedule.connection_lost(random.random() * RESTART_SPREAD_MS, gateway)
         while True:
             library.append(now)
             if now >= down_ms:
                 break
-            now = own.connection_lost(now, gateway)
-        now = Random(f"{seed}/{i}").random() * 50
+            now = schedule.connection_lost(now, gateway)
+        now = Random(f"{seed}/{i}").random() * RESTART_SPREAD_MS
         while True:
             plain.append(now)
             if now >= down_ms:
                 break
-            now += 1_000
+            now += PLAIN_PAUSE_MS
     return library, plain
 
 
 def peak(times: list[float]) -> int:
-    """The most in any one slot."""
+    """The largest number of events in a slot."""
     return max(Counter(int(at // SLOT_MS) for at in times).values())
 
 
 def plot(library: list[float], plain: list[float], path: Path) -> None:
-    """Both as rates over time."""
+    """Draw both as rates over time."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -92,8 +103,8 @@
     for times, label in ((plain, "plain"), (library, "library")):
         counts = Counter(int(at // SLOT_MS) for at in times)
         last = max(counts)
-        at = [k * SLOT_MS / 1000 for k in range(last + 1)]
-        axes.step(at, [counts[k] for k in range(last + 1)], label=label)
+        seconds = [slot * SLOT_MS / 1000 for slot in range(last + 1)]
+        axes.step(seconds, [counts[slot] for slot in range(last + 1)], label=label)
     axes.set_xlabel("seconds after the restart")
     axes.set_ylabel("connects per 100 ms")
     axes.set_yscale("symlog")
@@ -104,34 +115,36 @@
 # ---- goodput
 
 
-class World:
-    """One gateway's decisions before servers with queues, in simulated time; clients come as events."""
+class SimulatedGateway:
+    """The decisions of one gateway in front of servers with queues, in simulated time."""
 
     def __init__(self, servers: int, work_ms: float, seed: int) -> None:
         cls = RequestClass(1500, 4000, 3, Effect.SAFE)
         settings = Settings(1, 0, (cls,), (Plan(0, 0),), 3, 0.2, 10_000, 2, 1000, 250, marks_retry=True)
         self.gateway = Gateway(settings, seed)
         self.gateway.handle(0.0, FleetUpdate(ListKind.FULL, [BackendEntry(i + 1) for i in range(servers)]))
-        self.free = dict.fromkeys(range(1, servers + 1), 0.0)
+        self.free_at = dict.fromkeys(range(1, servers + 1), 0.0)  # when a server has done its queue
         self.work_ms, self.random = work_ms, Random(seed)
         self.heap: list[tuple[float, int, Callable[[float], None]]] = []
-        self.numbers = self.requests = 0
-        self.waiting: dict[int, Callable[[float, Any], None]] = {}
-        self.sent: dict[int, int] = {}
+        self.event_count = self.requests = 0
+        self.waiting: dict[int, Callable[[float, Any], None]] = {}  # callbacks by request
+        self.attempts: dict[int, int] = {}  # attempts sent, by request
 
-    def at(self, when: float, call: Callable[[float], None]) -> None:
-        self.numbers += 1
-        heapq.heappush(self.heap, (when, self.numbers, call))
+    def schedule(self, at: float, call: Callable[[float], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.heap, (at, self.event_count, call))
 
     def run(self) -> None:
         while self.heap:
             now, _, call = heapq.heappop(self.heap)
             call(now)
 
-    def arrive(self, now: float, left_ms: float, retry: bool, told: Callable[[float, Any], None]) -> None:
+    def arrive(
+        self, now: float, left_ms: float, retry: bool, on_answer: Callable[[float, Any], None]
+    ) -> None:
         self.requests += 1
         number = self.requests
-        self.waiting[number], self.sent[number] = told, 0
+        self.waiting[number], self.attempts[number] = on_answer, 0
         event = RequestArrived(number, 1, 0, 0, 1.0, 0, 1, left_ms, retry)
         self._act(now, self.gateway.handle(now, event), left_ms)
 
@@ -139,26 +152,26 @@
         for action in actions:
             match action:
                 case Send(request, backend):
-                    attempt, self.sent[request] = self.sent[request], self.sent[request] + 1
-                    start = max(now, self.free[backend])
+                    attempt, self.attempts[request] = self.attempts[request], self.attempts[request] + 1
+                    start = max(now, self.free_at[backend])
                     done = start + self.work_ms * self.random.expovariate(1.0)
-                    self.free[backend] = done
+                    self.free_at[backend] = done
                     if done - now > left_ms:
-                        self.at(
+                        self.schedule(
                             now + left_ms,
                             lambda at, r=request, b=backend, n=attempt: self._ended(
-                                at, r, n, b, How.TIMEOUT, left_ms
+                                at, r, n, b, AttemptOutcome.TIMEOUT, left_ms
                             ),
                         )
                     else:
-                        self.at(
+                        self.schedule(
                             done,
                             lambda at, r=request, b=backend, n=attempt, t=done - now: self._ended(
-                                at, r, n, b, How.OK, t
+                                at, r, n, b, AttemptOutcome.OK, t
                             ),
                         )
                 case Refuse(request, wait):
-                    self._tell(
+                    self._answer(
                         now,
                         request,
                         Answered(
@@ -167,86 +180,90 @@
                         ),
                     )
                 case Fail(request):
-                    self._tell(now, request, Answered(504, {"tamarind-outcome": "failed"}))
-
-    def _ended(self, now: float, request: int, attempt: int, backend: int, how: How, took: float) -> None:
-        over = how is How.OK
-        actions = self.gateway.handle(now, AttemptEnded(request, attempt, backend, how, took, over))
-        if over:
-            self._tell(now, request, Answered(200, {"tamarind-outcome": "served"}))
+                    self._answer(now, request, Answered(504, {"tamarind-outcome": "failed"}))
+
+    def _ended(
+        self, now: float, request: int, attempt: int, backend: int, outcome: AttemptOutcome, took: float
+    ) -> None:
+        answered = outcome is AttemptOutcome.OK
+        actions = self.gateway.handle(now, AttemptEnded(request, attempt, backend, outcome, took, answered))
+        if answered:
+            self._answer(now, request, Answered(200, {"tamarind-outcome": "served"}))
         self._act(now, actions, 1.0)
 
-    def _tell(self, now: float, request: int, event: Answered) -> None:
-        if (told := self.waiting.pop(request, None)) is not None:
-            told(now, event)
+    def _answer(self, now: float, request: int, event: Answered) -> None:
+        if (on_answer := self.waiting.pop(request, None)) is not None:
+            on_answer(now, event)
 
 
 def goodput(library: bool, seed: int, seconds: float = 40.0) -> tuple[float, float]:
-    """Calls served within their deadline, of all, in a cold snap of three times what the servers bear; and
-    tries a call."""
-    world, random = World(8, 40.0, seed), Random(seed)
+    """The fraction of calls that are served within their deadline, and the tries per call.
+
+    From 10 s to 25 s the offered load is three times the capacity of the servers.
+    """
+    simulated, random = SimulatedGateway(SERVERS, WORK_MS, seed), Random(seed)
     served = calls = 0
     draw = Random(seed + 1).random
-    shared = {}
+    customers = {}  # what the calls of a customer share
 
-    def one(now: float, customer: int) -> None:
+    def start_call(now: float, customer: int) -> None:
         nonlocal calls
         calls += 1
-        deadline = now + 4_000
+        deadline = now + CALL_DEADLINE_MS
         if library:
-            if customer not in shared:
-                shared[customer] = (
+            if customer not in customers:
+                customers[customer] = (
                     Gateways(["g"], str(customer), draw),
                     RetryBudget(),
                     ReconnectSchedule(str(customer), 0, 200, 5000, draw),
                 )
-            gateways, budget, back = shared[customer]
-            call = Call(Rules(4), CallSpec("safe", deadline), gateways, budget, back, draw)
-            by_core(now, call, call.start(now))
+            gateways, budget, reconnects = customers[customer]
+            call = Call(Rules(4), CallSpec("safe", deadline), gateways, budget, reconnects, draw)
+            carry_out(now, call, call.start(now))
         else:
-            plainly(now, deadline, 3)
+            call_plainly(now, deadline, 3)
 
-    def by_core(now: float, call: Call, action: Any) -> None:
+    def carry_out(now: float, call: Call, action: Any) -> None:
         nonlocal served
         if isinstance(action, Result):
             served += action.outcome is Outcome.SERVED
         elif isinstance(action, Wait):
-            world.at(action.until_ms, lambda at: by_core(at, call, call.handle(at, Woke())))
+            simulated.schedule(action.until_ms, lambda at: carry_out(at, call, call.handle(at, Woke())))
         else:
-            world.arrive(
+            simulated.arrive(
                 now,
                 action.time_left_ms,
                 action.retry,
-                lambda at, event: by_core(at, call, call.handle(at, event)),
+                lambda at, event: carry_out(at, call, call.handle(at, event)),
             )
 
-    def plainly(now: float, deadline: float, retries: int) -> None:
-        """Three retries at once, whatever was said: what many HTTP libraries do when told to retry."""
+    def call_plainly(now: float, deadline: float, retries: int) -> None:
+        """Retry at once, whatever the answer was, as many HTTP libraries do when configured to retry."""
 
-        def told(at: float, event: Answered) -> None:
+        def on_answer(at: float, event: Answered) -> None:
             nonlocal served
             if event.status == 200:
                 served += 1
             elif retries and at + 1 < deadline:
-                world.at(at + 1, lambda later: plainly(later, deadline, retries - 1))
+                simulated.schedule(at + 1, lambda later: call_plainly(later, deadline, retries - 1))
 
-        world.arrive(now, deadline - now, False, told)
+        simulated.arrive(now, deadline - now, False, on_answer)
 
     now = 0.0
     while now < seconds * 1000:
-        surge = 3.0 if 10_000 <= now < 25_000 else 0.7
-        now += random.expovariate(surge * 8 / 40.0)
+        load = SURGE_LOAD if 10_000 <= now < 25_000 else NORMAL_LOAD
+        now += random.expovariate(load * SERVERS / WORK_MS)
         customer = random.randrange(200)
-        world.at(now, lambda at, customer=customer: one(at, customer))
-    world.run()
-    return served / calls, world.requests / calls
+        simulated.schedule(now, lambda at, customer=customer: start_call(at, customer))
+    simulated.run()
+    return served / calls, simulated.requests / calls
 
 
 # ---- overhead
 
 
 def overhead(count: int) -> dict[str, float]:
-    """Microseconds a call, library and bare httpx, against a tariff stand-in."""
+    """CPU microseconds per call to a stand-in server, with the library and with httpx alone."""
     child = subprocess.Popen(
         [sys.executable, "-m", "tamarindfold.cli.main", "standin", "tariff"],
         stdout=subprocess.PIPE,
@@ -278,17 +295,17 @@
 
 
 def ratio(ours: list[tuple[float, float]], theirs: list[tuple[float, float]], which: int) -> float:
-    """The sum of one figure over another side's."""
+    """The sum of one figure of our runs, divided by the sum of theirs. which: the index of the figure."""
     return round(sum(run[which] for run in ours) / sum(run[which] for run in theirs), 3)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true", help="one JSON object on the last line")
-    parser.add_argument("--plot", type=Path, help="where to draw the reconnects")
+    parser.add_argument("--plot", type=Path, help="file for a plot of the reconnects")
     parser.add_argument("--calls", type=int, default=150)
     args = parser.parse_args()
-    library, plain = reconnects(6_000, 120, 2_000.0, 1)
+    library, plain = reconnect_times(6_000, 120, 2_000.0, 1)
     if args.plot:
         plot(library, plain, args.plot)
     seeds = range(5)
--- a/benchmarks/forward_auth.py
+++ b/benchmarks/forward_auth.py
@@ -1,8 +1,8 @@
-"""Decisions of the forward-auth front against a bare responder: the same load, the same run, ratios.
+"""Throughput and latency of forward-auth decisions, as ratios to a bare responder under the same load.
 
 The bare responder reads each sub-request with the same parser and answers 200 with headers of the same size.
-Both are held to one core; generators, counter and token server run on others. `plain`: the sub-request alone,
-in the form that only decides. `reported`: each sub-request followed by its report, in the form with reports.
+Both are pinned to one core; load generators, counter and token server run on others. `plain`: sub-requests
+alone, with `form: decide`. `reported`: each sub-request is followed by its report, with `form: report`.
 """
 
 from __future__ import annotations
@@ -31,11 +31,12 @@
 from tamarindfold.http1.requests import RequestReader
 
 CONNECTIONS = 48
-NAME = b"n" + str(os.getpid()).encode() + b".%d.%d"  # a name used again is another request to the front
+# unique for each request and generator: a repeated name would count as a repeat of the same request
+REQUEST_NAME = b"n" + str(os.getpid()).encode() + b".%d.%d"
 
 
-def ask(number: int, turn: int) -> list[bytes]:
-    """A sub-request as Traefik sends it."""
+def sub_request(number: int, turn: int) -> list[bytes]:
+    """A sub-request as Traefik sends it, on connection `number`."""
     return [
         write.request(
             "GET",
@@ -47,7 +48,7 @@
                 (b"x-forwarded-uri", b"/quotes/7"),
                 (b"x-forwarded-host", b"shop.example"),
                 (b"x-forwarded-for", b"203.0.113.7"),
-                (b"x-request-id", NAME % (number, turn)),
+                (b"x-request-id", REQUEST_NAME % (number, turn)),
                 (b"accept", b"application/json"),
                 (b"user-agent", b"bench"),
             ],
@@ -55,14 +56,14 @@
     ]
 
 
-def ask_and_tell(number: int, turn: int) -> list[bytes]:
-    """The same, and its report."""
-    told = b'{"request":"%s","status":200,"elapsed_ms":5.0}' % (NAME % (number, turn))
-    return [*ask(number, turn), write.request("POST", b"/report", b"gateway", [], told)]
+def sub_request_and_report(number: int, turn: int) -> list[bytes]:
+    """A sub-request and its report."""
+    report = b'{"request":"%s","status":200,"elapsed_ms":5.0}' % (REQUEST_NAME % (number, turn))
+    return [*sub_request(number, turn), write.request("POST", b"/report", b"gateway", [], report)]
 
 
-def bare() -> None:
-    """Answer everything with a permit that was made once."""
+def serve_bare() -> None:
+    """Answer every request with the same permit."""
     answer = write.response(
         200,
         [
@@ -78,7 +79,7 @@
         ],
     )
 
-    def one(sock: socket.socket, _peer: object) -> None:
+    def serve_connection(sock: socket.socket, _peer: object) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         reader = RequestReader(16_384, 100, 262_144)
         while data := sock.recv(65536):
@@ -89,40 +90,40 @@
 
     gc.collect()
     gc.freeze()
-    gc.set_threshold(50_000, 20, 20)  # as the gateway does
-    server = StreamServer(("127.0.0.1", 0), one, backlog=1024)
+    gc.set_threshold(50_000, 20, 20)  # the same settings as the gateway
+    server = StreamServer(("127.0.0.1", 0), serve_connection, backlog=1024)
     server.start()
     print(f"listening on 127.0.0.1:{server.server_port}", flush=True)
     gevent.wait()
 
 
 def measure(seconds: float, folder: Path) -> dict[str, Any]:
-    """The whole benchmark."""
-    every = sorted(os.sched_getaffinity(0))
-    own, rest = {every[0]}, every[1:] or every
-    loading = [{core} for core in rest[1:] or rest]
-    running = Processes()
+    """Run the whole benchmark."""
+    cores = sorted(os.sched_getaffinity(0))
+    subject_core, other_cores = {cores[0]}, cores[1:] or cores
+    load_cores = [{core} for core in other_cores[1:] or other_cores]
+    processes = Processes()
 
-    def standin(kind: str, config: dict[str, Any]) -> str:
+    def start_standin(kind: str, config: dict[str, Any]) -> str:
         file = folder / f"{kind}.yaml"
         file.write_bytes(msgspec.yaml.encode(config))
-        words = ["-m", "tamarindfold.cli.main", "standin", kind, "--config", str(file)]
-        _, line = running.start(words, {rest[0]})
+        args = ["-m", "tamarindfold.cli.main", "standin", kind, "--config", str(file)]
+        _, line = processes.start(args, {other_cores[0]})
         address: str = msgspec.json.decode(line)["address"]
         return address
 
     try:
-        tokens = standin(
+        tokens = start_standin(
             "tokens",
             {
                 "ledger": "/dev/null",
                 "tokens": {f"tok-{i}": {"sub": f"c{i}", "plan": "bench"} for i in range(CUSTOMERS)},
             },
         )
-        counter = standin("counter", {"ledger": "/dev/null"})
+        counter = start_standin("counter", {"ledger": "/dev/null"})
         subjects: list[tuple[str, str, Any, str]] = []
-        responder, line = running.start([__file__, "--role", "bare"], own)
-        at_bare = line.removeprefix("listening on ")
+        bare_responder, line = processes.start([__file__, "--role", "bare"], subject_core)
+        bare_address = line.removeprefix("listening on ")
         for name, form, role in (("plain", "decide", "ask"), ("reported", "report", "tell")):
             config = gateway_config([f"127.0.0.1:{40_000 + i}" for i in range(3)], tokens, counter) | {
                 "fronts": ["forward-auth"],
@@ -131,54 +132,57 @@
             }
             file = folder / f"{name}.yaml"
             file.write_bytes(msgspec.yaml.encode(config))
-            child, line = running.start(["-m", "tamarindfold.cli.main", "serve", str(file)], own)
+            child, line = processes.start(["-m", "tamarindfold.cli.main", "serve", str(file)], subject_core)
             subjects += [
-                (f"bare_{name}", at_bare, responder, role),
+                (f"bare_{name}", bare_address, bare_responder, role),
                 (name, line.removeprefix("listening on "), child, role),
             ]
         rounds: dict[str, list[dict[str, Any]]] = {name: [] for name, *_ in subjects}
         for _, address, _, role in subjects:
-            load(address, 1.0, CONNECTIONS, 0, loading, __file__, role)  # connections, caches
-        for _ in range(ROUNDS):  # in turn, so that a slow spell of the machine meets all alike
+            load(address, 1.0, CONNECTIONS, 0, load_cores, __file__, role)  # warm-up: connections and caches
+        for _ in range(
+            ROUNDS
+        ):  # alternating, so that a change of the machine's speed affects all subjects alike
             for name, address, child, role in subjects:
-                spent = cpu_seconds(child.pid)
+                cpu_before = cpu_seconds(child.pid)
                 length = seconds / ROUNDS * 1.25
-                done = load(address, length, CONNECTIONS, 0, loading, __file__, role)
-                done["cpu_us"] = (cpu_seconds(child.pid) - spent) / (done["rps"] * length) * 1e6
-                rounds[name].append(done)
+                result = load(address, length, CONNECTIONS, 0, load_cores, __file__, role)
+                result["cpu_us"] = (cpu_seconds(child.pid) - cpu_before) / (result["rps"] * length) * 1e6
+                rounds[name].append(result)
         rate = median(run["rps"] for run in rounds["plain"]) / 2
-        calm: dict[str, list[dict[str, Any]]] = {name: [] for name, *_ in subjects[:2]}
+        half_load: dict[str, list[dict[str, Any]]] = {name: [] for name, *_ in subjects[:2]}
         for _ in range(ROUNDS):
             for name, address, _, role in subjects[:2]:
                 length = seconds / ROUNDS * 1.25
-                calm[name].append(load(address, length, CONNECTIONS, rate, loading, __file__, role))
+                half_load[name].append(load(address, length, CONNECTIONS, rate, load_cores, __file__, role))
     finally:
-        running.stop()
+        processes.stop()
 
     def ratio(name: str, key: str) -> float:
         return round(
             median(a[key] / b[key] for a, b in zip(rounds[name], rounds[f"bare_{name}"], strict=True)), 3
         )
 
-    def middle(runs: list[dict[str, Any]], key: str) -> float:
+    def median_of(runs: list[dict[str, Any]], key: str) -> float:
         return round(float(median(run[key] for run in runs)), 3)
 
-    networks = {str(count): one_size(count)["ratio"] for count in SIZES}
+    lookup_ratios = {str(count): one_size(count)["ratio"] for count in SIZES}
     return {
         "throughput_ratio_to_bare_responder": ratio("plain", "rps"),
         "throughput_ratio_with_reports": ratio("reported", "rps"),
         "cpu_ratio_to_bare_responder": ratio("plain", "cpu_us"),
-        "decisions_a_second": middle(rounds["plain"], "rps"),
-        "bare_a_second": middle(rounds["bare_plain"], "rps"),
-        "reported_a_second": middle(rounds["reported"], "rps"),
+        "decisions_a_second": median_of(rounds["plain"], "rps"),
+        "bare_a_second": median_of(rounds["bare_plain"], "rps"),
+        "reported_a_second": median_of(rounds["reported"], "rps"),
         "rate_for_latency": round(rate),
-        "p50_ms": middle(calm["plain"], "p50_ms"),
-        "p99_ms": middle(calm["plain"], "p99_ms"),
-        "bare_p99_ms": middle(calm["bare_plain"], "p99_ms"),
+        "p50_ms": median_of(half_load["plain"], "p50_ms"),
+        "p99_ms": median_of(half_load["plain"], "p99_ms"),
+        "bare_p99_ms": median_of(half_load["bare_plain"], "p99_ms"),
         "errors": {
-            name: sum(run["errors"] for run in [*runs, *calm.get(name, [])]) for name, runs in rounds.items()
+            name: sum(run["errors"] for run in [*runs, *half_load.get(name, [])])
+            for name, runs in rounds.items()
         },
-        "lookup_ratio_to_scan": networks,
+        "lookup_ratio_to_scan": lookup_ratios,
     }
 
 
@@ -193,9 +197,9 @@
     parser.add_argument("--seed", type=int, default=0)
     args = parser.parse_args()
     if args.role == "bare":
-        return bare()
+        return serve_bare()
     if args.role is not None:
-        messages = ask if args.role == "ask" else ask_and_tell
+        messages = sub_request if args.role == "ask" else sub_request_and_report
         return generate(args.address, args.seconds, args.connections, args.rate, args.seed, messages)
     with tempfile.TemporaryDirectory() as folder:
         result = measure(args.seconds, Path(folder))
--- a/benchmarks/identity.py
+++ b/benchmarks/identity.py
@@ -1,4 +1,8 @@
-"""The registry's table against a plain dict of objects; how soon a commit is in force on three followers."""
+"""The registry's credential table against a dict of objects, and the propagation time of commits.
+
+Reports memory, lookup time, snapshot times and the longest stall of the event loop for each number of keys,
+and how long it takes until a commit is in force on three followers.
+"""
 
 from __future__ import annotations
 
@@ -29,30 +33,31 @@
 from tamarindfold.ingress.clock import SteadyClock
 from tamarindfold.registry.server import RegistryServer
 
-BASE = [
+BASE_CHANGES = [
     DefinePlan("small", PlanFigures(5, 10)),
     DefinePlan("large", PlanFigures(50, 100)),
     AddCustomer("anna", "small", 1),
 ]
-LOOKS = 100_000
+LOOKUPS = 100_000
 
 
-def names(count: int) -> list[int]:
+def key_hashes(count: int) -> list[int]:
+    """Random key hashes, the same for the same count."""
     random = Random(count)
     return [random.getrandbits(64) for _ in range(count)]
 
 
-def filled(count: int) -> History:
-    made = History()
-    for number, change in enumerate(BASE):
-        made.extend(change, 0.0, number)
-    for i, name in enumerate(names(count)):
-        made.extend(Issue(f"k{i}", "key", name, i.to_bytes(16, "big"), "anna"), 0.0, i)
-    return made
+def history_with_keys(count: int) -> History:
+    history = History()
+    for number, change in enumerate(BASE_CHANGES):
+        history.extend(change, 0.0, number)
+    for i, key_hash in enumerate(key_hashes(count)):
+        history.extend(Issue(f"k{i}", "key", key_hash, i.to_bytes(16, "big"), "anna"), 0.0, i)
+    return history
 
 
-def size_of(make: Any) -> tuple[int, Any]:
-    """Bytes that making it leaves allocated, and what was made."""
+def allocated_bytes(make: Any) -> tuple[int, Any]:
+    """The bytes that stay allocated after a call of `make`, and the object that it returned."""
     gc.collect()
     tracemalloc.start()
     made = make()
@@ -62,38 +67,42 @@
     return size, made
 
 
-def objects(count: int) -> dict[int, CredentialRow]:
-    """The plain structure: an object for each credential in a dict."""
+def credential_dict(count: int) -> dict[int, CredentialRow]:
+    """The structure to compare with: a dict with one object per credential."""
     return {
-        name: CredentialRow(name, f"k{i}", "key", i.to_bytes(16, "big"), 1, 1, 1e15 + i, float(i), 2e15 + i)
-        for i, name in enumerate(names(count))
+        key_hash: CredentialRow(
+            key_hash, f"k{i}", "key", i.to_bytes(16, "big"), 1, 1, 1e15 + i, float(i), 2e15 + i
+        )
+        for i, key_hash in enumerate(key_hashes(count))
     }
 
 
-def look_ups(find: Any, wanted: list[int]) -> float:
-    """Nanoseconds for one, the best of five rounds."""
+def lookup_ns(find: Any, wanted: list[int]) -> float:
+    """Nanoseconds per lookup, the best of five rounds."""
     best = float("inf")
     for _ in range(5):
         began = time.perf_counter()
-        for name in wanted:
-            find(name)
+        for key_hash in wanted:
+            find(key_hash)
         best = min(best, (time.perf_counter() - began) / len(wanted) * 1e9)
     return best
 
 
 def stall_ms(envelope: bytes, key: Ed25519PublicKey) -> float:
-    """The longest time for which the loop stands still while a snapshot is read in a thread, as the driver
-    does it, and put in force."""
-    worst = 0.0
+    """The longest stall of the event loop while a snapshot is decoded and applied.
+
+    It is decoded in a thread, as the driver does it.
+    """
+    longest = 0.0
     done = False
 
     def tick() -> None:
-        nonlocal worst
+        nonlocal longest
         last = time.perf_counter()
         while not done:
             gevent.sleep(0.0005)
             now = time.perf_counter()
-            worst, last = max(worst, now - last), now
+            longest, last = max(longest, now - last), now
 
     ticker = gevent.spawn(tick)
     gevent.sleep(0.01)
@@ -102,28 +111,28 @@
     gevent.sleep(0.01)
     done = True
     ticker.join()
-    return worst * 1000
+    return longest * 1000
 
 
 def one_size(count: int) -> dict[str, float]:
     key = Ed25519PrivateKey.generate()
-    made = filled(count)
-    envelope = encode_update(made.snapshot(), 0.0, key)
+    history = history_with_keys(count)
+    envelope = encode_update(history.snapshot(), 0.0, key)
     began = time.perf_counter()
     body, _ = decode_update(envelope, key.public_key())
-    read_ms = (time.perf_counter() - began) * 1000
+    decode_ms = (time.perf_counter() - began) * 1000
     assert isinstance(body, Snapshot)
     began = time.perf_counter()
     tables = Tables(body)
     apply_ms = (time.perf_counter() - began) * 1000
     table_bytes = sum(len(getattr(body.columns, c)) for c in body.columns.__slots__)
-    dict_bytes, plain = size_of(lambda: objects(count))
-    wanted = Random(7).choices(names(count), k=LOOKS)
-    table_ns, dict_ns = look_ups(tables.credential, wanted), look_ups(plain.get, wanted)
-    row_ns = look_ups(tables.keys.find, wanted)
-    made.extend(SetPlan("anna", "large", 1, 1.0), 0.0, 1)
+    dict_bytes, plain = allocated_bytes(lambda: credential_dict(count))
+    wanted = Random(7).choices(key_hashes(count), k=LOOKUPS)
+    table_ns, dict_ns = lookup_ns(tables.credential, wanted), lookup_ns(plain.get, wanted)
+    row_ns = lookup_ns(tables.keys.find, wanted)
+    history.extend(SetPlan("anna", "large", 1, 1.0), 0.0, 1)
     delta, _ = decode_update(
-        encode_update(made.since(1, made.state.version - 1, made.chains[-2], False), 0.0, key),
+        encode_update(history.since(1, history.state.version - 1, history.chains[-2], False), 0.0, key),
         key.public_key(),
     )
     began = time.perf_counter()
@@ -137,21 +146,21 @@
         "dict_lookup_ns": round(dict_ns),
         "row_ns": round(row_ns),
         "lookup_ratio_to_dict": round(table_ns / dict_ns, 2),
-        "snapshot_read_ms": round(read_ms, 2),
+        "snapshot_read_ms": round(decode_ms, 2),
         "snapshot_apply_ms": round(apply_ms, 3),
         "change_apply_ms": round(change_ms, 4),
         "envelope_mb": round(len(envelope) / 1e6, 1),
     }
 
 
-def spread(commits: int) -> dict[str, float]:
-    """Milliseconds from before a commit until it is in force on all of three followers over sockets."""
+def propagation(commits: int) -> dict[str, float]:
+    """Percentiles of the time of a commit, and until it is in force on all of three followers over TCP."""
     clock = SteadyClock().now
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "r.db"
         files.create_all(path)
         store = Store(path, create=True)
-        store.commit(BASE, 0.0)
+        store.commit(BASE_CHANGES, 0.0)
         registry = RegistryServer(Store(path), files.private_key(path), "127.0.0.1", 0, lambda *_, **__: None)
         host, _, port = registry.start().rpartition(":")
         public, pepper = files.public_key(files.public_path(path)), files.pepper(files.pepper_path(path))
@@ -173,8 +182,8 @@
         ]
         for follower in followers:
             follower.start()
-        histogram = HdrHistogram(1, 60_000_000, 3)
-        commit_cost = HdrHistogram(1, 60_000_000, 3)
+        in_force_us = HdrHistogram(1, 60_000_000, 3)
+        commit_us = HdrHistogram(1, 60_000_000, 3)
         random = Random(1)
         while not all(f.version == store.history.state.version for f in followers):
             gevent.sleep(0.005)
@@ -182,18 +191,18 @@
             gevent.sleep(0.03 + 0.03 * random.random())
             began = time.perf_counter()
             version = store.commit([AddCustomer(f"c{i}", "small", 1)], float(i))
-            commit_cost.record_value(int((time.perf_counter() - began) * 1e6))
+            commit_us.record_value(int((time.perf_counter() - began) * 1e6))
             while not all(f.version >= version for f in followers):
                 gevent.sleep(0.0005)
-            histogram.record_value(int((time.perf_counter() - began) * 1e6))
+            in_force_us.record_value(int((time.perf_counter() - began) * 1e6))
         for follower in followers:
             follower.stop()
         registry.stop()
         store.close()
     return {
-        "commit_p50_ms": commit_cost.get_value_at_percentile(50) / 1000,
-        "in_force_p50_ms": histogram.get_value_at_percentile(50) / 1000,
-        "in_force_p99_ms": histogram.get_value_at_percentile(99) / 1000,
+        "commit_p50_ms": commit_us.get_value_at_percentile(50) / 1000,
+        "in_force_p50_ms": in_force_us.get_value_at_percentile(50) / 1000,
+        "in_force_p99_ms": in_force_us.get_value_at_percentile(99) / 1000,
     }
 
 
@@ -210,7 +219,7 @@
         print(count, sizes[str(count)])
     for figure in ("bytes_per_key", "dict_bytes_per_key", "lookup_ratio_to_dict", "snapshot_apply_ms"):
         result[figure] = {count: figures[figure] for count, figures in sizes.items()}
-    result |= {"sizes": sizes, "spread": spread(args.commits)}
+    result |= {"sizes": sizes, "spread": propagation(args.commits)}
     print(result["spread"])
     if args.json:
         print(msgspec.json.encode(result).decode())
--- a/benchmarks/ingress.py
+++ b/benchmarks/ingress.py
@@ -1,7 +1,8 @@
-"""The gateway against a bare hop and no hop at all: the same load, the same run, ratios.
+"""Throughput and latency of the gateway, compared with a bare proxy and with direct connections.
 
-Load generators and servers run on cores of their own; the program in question is held to one core. Throughput
-is a closed loop; latency an open one at half of the hop's load, counted from when each request was due.
+All are measured in the same run under the same load. The gateway and the bare proxy ("hop") are pinned
+to one core; load generators and servers run on others. Throughput is measured in a closed loop. Latency is
+measured in an open loop at half of the gateway's throughput, from the time at which each request was due.
 """
 
 from __future__ import annotations
@@ -34,37 +35,41 @@
 from tamarindfold.ingress.clock import SteadyClock
 from tamarindfold.ingress.pool import Pool
 
-CUSTOMERS, GENERATORS, SERVERS = 200, 3, 3
+CUSTOMERS = 200
+GENERATORS = 3
+SERVERS = 3
+CONNECTIONS = 48
 ROUNDS = 5
+WARM_UP_SHARE = 0.2  # of a run: its results are not counted
 CLASSES = [{"name": "quote", "aim_ms": 1500, "deadline_ms": 6000, "worth": 3, "effect": "safe"}]
 
 
-# ---- the bare hop: same parser, same pool, no decisions
+# ---- the bare proxy: the same parser and connection pool, no decisions
 
 
-def hop(servers: list[str]) -> None:
-    """Pass every request on to the next server and its answer back."""
+def serve_hop(servers: list[str]) -> None:
+    """Forward requests to the servers in turn, and their answers back."""
     pool = Pool(60_000, 512, 4096, 1000, "", 1 << 20, SteadyClock().now)
     backends = [backend_id(*split_address(s, "server")) for s in servers]
-    turn = 0
+    next_backend = 0
 
-    def one(sock: socket.socket, _peer: object) -> None:
-        nonlocal turn
+    def serve_connection(sock: socket.socket, _peer: object) -> None:
+        nonlocal next_backend
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         reader = RequestReader(16_384, 100, 262_144)
         while data := sock.recv(65536):
             reader.feed(data)
             while reader.ready:
                 request = reader.ready.popleft()
-                turn = (turn + 1) % len(backends)
-                connection = pool.acquire_idle(backends[turn]) or pool.connect(
-                    backends[turn], split_address(servers[turn], "server"), 1.0
+                next_backend = (next_backend + 1) % len(backends)
+                connection = pool.acquire_idle(backends[next_backend]) or pool.connect(
+                    backends[next_backend], split_address(servers[next_backend], "server"), 1.0
                 )
                 answer = connection.reader
                 answer.begin()
-                passed = [h for h in request.headers if h[0] != b"host" and h[0] not in write.HOP_BY_HOP]
+                forwarded = [h for h in request.headers if h[0] != b"host" and h[0] not in write.HOP_BY_HOP]
                 connection.sock.sendall(
-                    write.request(request.method, request.target, b"server", passed, request.body)
+                    write.request(request.method, request.target, b"server", forwarded, request.body)
                 )
                 answer.read(connection.sock.recv)
                 headers = [h for h in answer.headers if h[0] not in write.HOP_BY_HOP]
@@ -73,8 +78,8 @@
 
     gc.collect()
     gc.freeze()
-    gc.set_threshold(50_000, 20, 20)  # as the gateway does
-    server = StreamServer(("127.0.0.1", 0), one, backlog=1024)
+    gc.set_threshold(50_000, 20, 20)  # the same settings as the gateway
+    server = StreamServer(("127.0.0.1", 0), serve_connection, backlog=1024)
     server.start()
     print(f"listening on 127.0.0.1:{server.server_port}", flush=True)
     gevent.wait()
@@ -84,7 +89,7 @@
 
 
 def quote(number: int, _turn: int) -> list[bytes]:
-    """The one message of a turn on a connection of this number."""
+    """The requests of one turn on connection `number`: a single quote."""
     return [
         write.request(
             "GET",
@@ -108,15 +113,19 @@
     seed: int,
     messages: Callable[[int, int], list[bytes]] = quote,
 ) -> None:
-    """Print one JSON object: served turns, seconds, and latencies of their first messages in microseconds."""
+    """Send requests, then print a JSON object: counts, measured seconds and the latencies in microseconds.
+
+    A turn sends the requests of `messages` one after the other; its latency is that of the first. rate: turns
+    per second in an open loop; 0: a closed loop.
+    """
     target = split_address(address, "target")
     histogram = HdrHistogram(1, 60_000_000, 3)
     served = errors = 0
     start = time.monotonic() + 0.2
     until = start + seconds
-    warm = start + seconds * 0.2
+    warm_at = start + seconds * WARM_UP_SHARE
 
-    def one(number: int) -> None:
+    def run_connection(number: int) -> None:
         nonlocal served, errors
         reader = ResponseReader(1 << 20)
         turn = 0
@@ -137,18 +146,18 @@
                     reader.read(sock.recv)
                     errors += reader.status != 200
                     end = end or time.monotonic()
-                if reader.status == 200 and end >= warm:
+                if reader.status == 200 and end >= warm_at:
                     served += 1
                     histogram.record_value(max(1, int((end - (due if rate else now)) * 1e6)))
                 due = due + connections / rate if rate else end
 
-    gevent.joinall([gevent.spawn(one, i) for i in range(connections)], raise_error=True)
+    gevent.joinall([gevent.spawn(run_connection, i) for i in range(connections)], raise_error=True)
     print(
         msgspec.json.encode(
             {
                 "served": served,
                 "errors": errors,
-                "seconds": until - warm,
+                "seconds": until - warm_at,
                 "histogram": histogram.encode().decode(),
             }
         ).decode(),
@@ -156,17 +165,18 @@
     )
 
 
-# ---- the parts as processes
+# ---- processes
 
 
 class Processes:
-    """Child processes, ended by their ids whatever happens."""
+    """Child processes; `stop` kills all that were started."""
 
     def __init__(self) -> None:
         self.children: list[subprocess.Popen[str]] = []
 
-    def start(self, words: list[str], cores: set[int]) -> tuple[subprocess.Popen[str], str]:
-        child = subprocess.Popen([sys.executable, *words], stdout=subprocess.PIPE, stderr=None, text=True)
+    def start(self, args: list[str], cores: set[int]) -> tuple[subprocess.Popen[str], str]:
+        """Start Python with these arguments on these cores; returns the process and its first output line."""
+        child = subprocess.Popen([sys.executable, *args], stdout=subprocess.PIPE, stderr=None, text=True)
         self.children.append(child)
         os.sched_setaffinity(child.pid, cores)
         assert child.stdout is not None
@@ -196,7 +206,7 @@
     script: str = __file__,
     role: str = "load",
 ) -> dict[str, Any]:
-    """All generators at once; what they served and how long it took."""
+    """Run all generators at once, each on one of the core sets; returns throughput, errors and latencies."""
     children = []
     for i in range(GENERATORS):
         child = subprocess.Popen(
@@ -223,13 +233,13 @@
         children.append(child)
     histogram = HdrHistogram(1, 60_000_000, 3)
     served = errors = 0
-    length = 0.0
+    measured_s = 0.0
     for child in children:
         out, _ = child.communicate(timeout=seconds + 30)
         result = msgspec.json.decode(out)
-        served, errors, length = served + result["served"], errors + result["errors"], result["seconds"]
+        served, errors, measured_s = served + result["served"], errors + result["errors"], result["seconds"]
         histogram.decode_and_add(result["histogram"])
-    return {"rps": served / length, "errors": errors} | {
+    return {"rps": served / measured_s, "errors": errors} | {
         f"p{p:g}_ms": histogram.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9)
     }
 
@@ -253,7 +263,7 @@
 
 
 def idle_memory(child: subprocess.Popen[str], address: str, count: int) -> float:
-    """Bytes of the gateway for each idle connection that has been answered once."""
+    """Memory of the gateway, in bytes, per idle connection that has served one request."""
     target = split_address(address, "gateway")
     before = rss_bytes(child.pid)
     socks = []
@@ -263,14 +273,14 @@
         sock.sendall(data)
         sock.recv(65536)
         socks.append(sock)
-    each = (rss_bytes(child.pid) - before) / count
+    bytes_each = (rss_bytes(child.pid) - before) / count
     for sock in socks:
         sock.close()
-    return each
+    return bytes_each
 
 
 def open_memory(child: subprocess.Popen[str], address: str, count: int) -> float:
-    """Bytes of the gateway for each request that waits for a server."""
+    """Memory of the gateway, in bytes, per request that waits for a server."""
     target = split_address(address, "gateway")
     before = rss_bytes(child.pid)
     socks = []
@@ -283,93 +293,106 @@
         )
         socks.append(sock)
     time.sleep(1.0)
-    each = (rss_bytes(child.pid) - before) / count
+    bytes_each = (rss_bytes(child.pid) - before) / count
     for sock in socks:
         sock.close()
-    return each
+    return bytes_each
 
 
 def measure(seconds: float, folder: Path) -> dict[str, Any]:
-    """The whole benchmark."""
-    every = sorted(os.sched_getaffinity(0))
-    own, rest = {every[0]}, every[1:] or every
-    third = max(1, len(rest) // 2)
-    serving, loading = set(rest[:third]), [{core} for core in (rest[third:] or rest)]
-    running = Processes()
-
-    def standin(kind: str, config: dict[str, Any]) -> str:
-        file = folder / f"{kind}-{len(running.children)}.yaml"
+    """Run the whole benchmark."""
+    cores = sorted(os.sched_getaffinity(0))
+    subject_core, other_cores = {cores[0]}, cores[1:] or cores
+    server_core_count = max(1, len(other_cores) // 2)
+    server_cores = set(other_cores[:server_core_count])
+    load_cores = [{core} for core in (other_cores[server_core_count:] or other_cores)]
+    processes = Processes()
+
+    def start_standin(kind: str, config: dict[str, Any]) -> str:
+        file = folder / f"{kind}-{len(processes.children)}.yaml"
         file.write_bytes(msgspec.yaml.encode(config))
-        words = ["-m", "tamarindfold.cli.main", "standin", kind, "--config", str(file)]
-        _, line = running.start(words, serving)
+        args = ["-m", "tamarindfold.cli.main", "standin", kind, "--config", str(file)]
+        _, line = processes.start(args, server_cores)
         address: str = msgspec.json.decode(line)["address"]
         return address
 
-    def gateway(servers: list[str]) -> tuple[subprocess.Popen[str], str]:
-        file = folder / f"gateway-{len(running.children)}.yaml"
+    def start_gateway(servers: list[str]) -> tuple[subprocess.Popen[str], str]:
+        file = folder / f"gateway-{len(processes.children)}.yaml"
         file.write_bytes(msgspec.yaml.encode(gateway_config(servers, tokens, counter)))
-        child, line = running.start(["-m", "tamarindfold.cli.main", "serve", str(file)], own)
+        child, line = processes.start(["-m", "tamarindfold.cli.main", "serve", str(file)], subject_core)
         return child, line.removeprefix("listening on ")
 
     try:
-        tariff = {"ledger": "/dev/null", "default_work_ms": 0.01, "sigma": 0.0, "cores": 64, "queue": 100_000}
-        servers = [standin("tariff", tariff) for _ in range(SERVERS)]
-        hanging = standin("tariff", tariff | {"faults": [{"kind": "hang"}]})
-        tokens = standin(
+        tariff_config = {
+            "ledger": "/dev/null",
+            "default_work_ms": 0.01,
+            "sigma": 0.0,
+            "cores": 64,
+            "queue": 100_000,
+        }
+        servers = [start_standin("tariff", tariff_config) for _ in range(SERVERS)]
+        hanging_server = start_standin("tariff", tariff_config | {"faults": [{"kind": "hang"}]})
+        tokens = start_standin(
             "tokens",
             {
                 "ledger": "/dev/null",
                 "tokens": {f"tok-{i}": {"sub": f"c{i}", "plan": "bench"} for i in range(CUSTOMERS)},
             },
         )
-        counter = standin("counter", {"ledger": "/dev/null"})
-        bare, line = running.start([__file__, "--role", "hop", "--servers", ",".join(servers)], own)
+        counter = start_standin("counter", {"ledger": "/dev/null"})
+        hop, line = processes.start([__file__, "--role", "hop", "--servers", ",".join(servers)], subject_core)
         hop_address = line.removeprefix("listening on ")
-        full, gateway_address = gateway(servers)
+        gateway, gateway_address = start_gateway(servers)
         out: dict[str, Any] = {}
         subjects = (
             ("direct", None, servers[0]),
-            ("hop", bare, hop_address),
-            ("gateway", full, gateway_address),
+            ("hop", hop, hop_address),
+            ("gateway", gateway, gateway_address),
         )
         rounds: dict[str, list[dict[str, Any]]] = {name: [] for name, _, _ in subjects}
         for _, _, address in subjects:
-            load(address, 1.0, 48, 0, loading)  # connections, caches
-        for _ in range(ROUNDS):  # in turn, so that a slow spell of the machine meets all alike
+            load(address, 1.0, CONNECTIONS, 0, load_cores)  # warm-up: connections and caches
+        for _ in range(
+            ROUNDS
+        ):  # alternating, so that a change of the machine's speed affects all subjects alike
             for name, child, address in subjects:
-                spent = cpu_seconds(child.pid) if child else 0.0
-                done = load(address, seconds / ROUNDS * 1.25, 48, 0, loading)
+                cpu_before = cpu_seconds(child.pid) if child else 0.0
+                result = load(address, seconds / ROUNDS * 1.25, CONNECTIONS, 0, load_cores)
                 if child:
-                    requests = done["rps"] * seconds / ROUNDS * 1.25
-                    done["cpu_us"] = (cpu_seconds(child.pid) - spent) / requests * 1e6
-                rounds[name].append(done)
+                    requests = result["rps"] * seconds / ROUNDS * 1.25
+                    result["cpu_us"] = (cpu_seconds(child.pid) - cpu_before) / requests * 1e6
+                rounds[name].append(result)
         for name, runs in rounds.items():
             out[name] = {key: median(run[key] for run in runs) for key in runs[0]}
-        ratio = median(g["rps"] / h["rps"] for g, h in zip(rounds["gateway"], rounds["hop"], strict=True))
+        throughput_ratio = median(
+            g["rps"] / h["rps"] for g, h in zip(rounds["gateway"], rounds["hop"], strict=True)
+        )
         rate = out["gateway"]["rps"] / 2
-        calm: dict[str, list[dict[str, Any]]] = {name: [] for name, _, _ in subjects}
+        half_load: dict[str, list[dict[str, Any]]] = {name: [] for name, _, _ in subjects}
         for _ in range(ROUNDS):
             for name, _, address in subjects:
-                calm[name].append(load(address, seconds / ROUNDS * 1.25, 48, rate, loading))
-        for name, runs in calm.items():
+                half_load[name].append(load(address, seconds / ROUNDS * 1.25, CONNECTIONS, rate, load_cores))
+        for name, runs in half_load.items():
             out[f"{name}_at_half"] = {key: median(run[key] for run in runs) for key in runs[0]}
-        idle = idle_memory(full, gateway_address, 2000)
-        waiting, waiting_address = gateway([hanging])
-        held = open_memory(waiting, waiting_address, 1000)
+        idle_bytes = idle_memory(gateway, gateway_address, 2000)
+        waiting_gateway, waiting_address = start_gateway([hanging_server])
+        open_bytes = open_memory(waiting_gateway, waiting_address, 1000)
     finally:
-        running.stop()
-    half = {p: out["gateway_at_half"][p] - out["direct_at_half"][p] for p in ("p50_ms", "p99_ms", "p99.9_ms")}
+        processes.stop()
+    added = {
+        p: out["gateway_at_half"][p] - out["direct_at_half"][p] for p in ("p50_ms", "p99_ms", "p99.9_ms")
+    }
     return {
-        "throughput_ratio_to_bare_hop": round(ratio, 3),
+        "throughput_ratio_to_bare_hop": round(throughput_ratio, 3),
         "cpu_ratio_to_bare_hop": round(out["gateway"]["cpu_us"] / out["hop"]["cpu_us"], 3),
         "gateway_rps_one_core": round(out["gateway"]["rps"]),
         "hop_rps_one_core": round(out["hop"]["rps"]),
-        "added_p50_ms": round(half["p50_ms"], 3),
-        "added_p99_ms": round(half["p99_ms"], 3),
-        "added_p999_ms": round(half["p99.9_ms"], 3),
+        "added_p50_ms": round(added["p50_ms"], 3),
+        "added_p99_ms": round(added["p99_ms"], 3),
+        "added_p999_ms": round(added["p99.9_ms"], 3),
         "rate_for_latency": round(rate),
-        "bytes_per_idle_connection": round(idle),
-        "bytes_per_open_request": round(held),
+        "bytes_per_idle_connection": round(idle_bytes),
+        "bytes_per_open_request": round(open_bytes),
         "runs": out,
     }
 
@@ -386,7 +409,7 @@
     parser.add_argument("--seed", type=int, default=0)
     args = parser.parse_args()
     if args.role == "hop":
-        return hop(args.servers.split(","))
+        return serve_hop(args.servers.split(","))
     if args.role == "load":
         return generate(args.address, args.seconds, args.connections, args.rate, args.seed)
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -1,6 +1,7 @@
-"""What an ingress on the platform costs: CPU a request, start-up, memory, at rates held by an open loop.
+"""The cost of an ingress on the platform: start-up time, CPU per request and memory, at given request rates.
 
-The world (backends, discovery, counter) and the load run on cores of their own, the ingress on one.
+The load is an open loop. The ingress is pinned to one core; stand-ins of the backends, of discovery and of
+the counter run in another process.
 """
 
 from __future__ import annotations
@@ -33,7 +34,8 @@
     PlatformDiscovery,
 )
 
-BACKENDS, CUSTOMERS = 9, 2000
+BACKENDS = 9
+CUSTOMERS = 2000
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
     "index": 0,
@@ -68,7 +70,7 @@
 
 
 def configuration(listen: str, discovery: str, counter: str, known: dict[str, Any]) -> dict[str, Any]:
-    """An ingress's configuration."""
+    """The configuration of an ingress. known: the server list that it starts with."""
     return {
         "name": "n0",
         "listen": listen,
@@ -81,8 +83,8 @@
     }
 
 
-def world(folder: Path, work_ms: float, listen: str) -> None:
-    """Serve backends, discovery and counter; leave the configuration in the folder."""
+def serve_environment(folder: Path, work_ms: float, listen: str) -> None:
+    """Serve backends, discovery and counter, and write the ingress's configuration into the folder."""
     backends = [PlatformBackend(BackendConfig(seed=i, work_ms=work_ms)) for i in range(BACKENDS)]
     for backend in backends:
         backend.ledger.note = lambda *_args, **_fields: None  # type: ignore[method-assign]
@@ -113,13 +115,16 @@
 
 
 class Load:
-    """Requests at a rate, on connections kept by each client."""
+    """Sends requests at a rate, on pooled connections.
+
+    fresh: the fraction of requests on new connections. Requests without an answer count as status 0.
+    """
 
     def __init__(
         self, address: tuple[str, int], rate: float, seconds: float, seed: int, fresh: float
     ) -> None:
         self.address, self.rate, self.seconds, self.fresh = address, rate, seconds, fresh
-        self.random, self.free = Random(seed), list[socket.socket]()
+        self.random, self.idle = Random(seed), list[socket.socket]()
         self.statuses: Counter[int] = Counter()
         self.number = seed << 40
 
@@ -128,10 +133,10 @@
         while due < end:
             due += self.random.expovariate(self.rate)
             gevent.sleep(max(0.0, due - time.monotonic()))
-            gevent.spawn(self.one)
+            gevent.spawn(self._send)
         gevent.sleep(2)
 
-    def one(self) -> None:
+    def _send(self) -> None:
         self.number += 1
         safe = self.random.random() < 0.75
         data = (
@@ -142,13 +147,13 @@
             + ("\r\n" if safe else f"Content-Length: 200\r\n\r\n{'x' * 200}")
         ).encode()
         try:
-            reused = bool(self.free) and self.random.random() >= self.fresh
-            sock = self.free.pop() if reused else socket.create_connection(self.address)
+            reuse = bool(self.idle) and self.random.random() >= self.fresh
+            sock = self.idle.pop() if reuse else socket.create_connection(self.address)
             reader = ResponseReader(1 << 20)
             sock.sendall(data)
             reader.read(sock.recv)
             self.statuses[reader.status] += 1
-            self.free.append(sock)
+            self.idle.append(sock)
         except OSError:
             self.statuses[0] += 1
 
@@ -167,20 +172,22 @@
     parser.add_argument("--rates", type=float, nargs="+", default=[140, 560])
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--work-ms", type=float, default=80)
-    parser.add_argument("--fresh", type=float, default=0.0, help="part of requests on new connections")
-    parser.add_argument("--wrap", nargs="*", default=[], help="words before the command")
-    parser.add_argument("--world", type=Path)
+    parser.add_argument("--fresh", type=float, default=0.0, help="fraction of requests on new connections")
+    parser.add_argument("--wrap", nargs="*", default=[], help="command line to run the ingress under")
+    parser.add_argument("--world", type=Path, help="internal: serve the environment with this folder")
     args = parser.parse_args()
     listen = ("127.0.0.9", 19_000)
     if args.world:
-        world(args.world, args.work_ms, f"{listen[0]}:{listen[1]}")
+        serve_environment(args.world, args.work_ms, f"{listen[0]}:{listen[1]}")
         return
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        around = subprocess.Popen([sys.executable, __file__, "--world", name, "--work-ms", str(args.work_ms)])
+        environment = subprocess.Popen(
+            [sys.executable, __file__, "--world", name, "--work-ms", str(args.work_ms)]
+        )
         while not (folder / "config.json").exists():
             time.sleep(0.05)
-        began = time.monotonic()
+        started_at = time.monotonic()
         ingress = subprocess.Popen(
             ["taskset", "-c", "0", *args.wrap, sys.executable, "-m", "tamarindfold.node"],
             cwd=ROOT,
@@ -194,22 +201,22 @@
                 except OSError:
                     time.sleep(0.005)
             print(
-                f"up after {1000 * (time.monotonic() - began):.0f} ms, {_cpu_s(ingress.pid):.2f} CPU s, "
+                f"up after {1000 * (time.monotonic() - started_at):.0f} ms, {_cpu_s(ingress.pid):.2f} CPU s, "
                 f"{_rss_mb(ingress.pid):.1f} MB"
             )
             for turn, rate in enumerate(args.rates):
-                load, before = Load(listen, rate, args.seconds, turn + 1, args.fresh), _cpu_s(ingress.pid)
+                load, cpu_before = Load(listen, rate, args.seconds, turn + 1, args.fresh), _cpu_s(ingress.pid)
                 load.run()
-                spent, done = _cpu_s(ingress.pid) - before, sum(load.statuses.values())
+                cpu_s, answered = _cpu_s(ingress.pid) - cpu_before, sum(load.statuses.values())
                 print(
-                    f"{rate:6.0f}/s: {1e6 * spent / done:.0f} us CPU a request, "
-                    f"{spent / args.seconds:.2f} of a core, {_rss_mb(ingress.pid):.1f} MB, "
+                    f"{rate:6.0f}/s: {1e6 * cpu_s / answered:.0f} us CPU a request, "
+                    f"{cpu_s / args.seconds:.2f} of a core, {_rss_mb(ingress.pid):.1f} MB, "
                     f"answers {dict(load.statuses)}"
                 )
         finally:
             ingress.terminate()
             ingress.wait(10)
-            around.terminate()
+            environment.terminate()
 
 
 if __name__ == "__main__":
--- a/benchmarks/prefixes.py
+++ b/benchmarks/prefixes.py
@@ -1,4 +1,4 @@
-"""The prefix trie against a plain scan of networks: time for a look-up."""
+"""Lookup time in the prefix trie, compared with a linear scan of the networks."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 from tamarindfold.ds.prefixes import PrefixTrie
 
-
 SIZES = (10, 1_000, 100_000)
 
 
 def one_size(count: int) -> dict[str, float]:
+    """Microseconds per lookup among this many networks, and their ratio. Checks that both find the same."""
     random = Random(count)
     networks: dict[IPv4Network, int] = {}
     while len(networks) < count:
@@ -28,20 +28,24 @@
     trie: PrefixTrie[int] = PrefixTrie()
     for network, length in networks.items():
         trie.add(str(network), length)
-    plain = [(int(n.network_address) >> (32 - n.prefixlen), 32 - n.prefixlen, n.prefixlen) for n in networks]
+    scan_list = [
+        (int(n.network_address) >> (32 - n.prefixlen), 32 - n.prefixlen, n.prefixlen) for n in networks
+    ]
     wanted = [random.getrandbits(32) for _ in range(20_000)]
-    mapped = [0xFFFF << 32 | address for address in wanted]
+    mapped = [
+        0xFFFF << 32 | address for address in wanted
+    ]  # IPv4-mapped IPv6 addresses, as the trie stores them
     began = time.perf_counter()
     found = [trie.find(address) for address in mapped]
     trie_us = (time.perf_counter() - began) / len(wanted) * 1e6
-    looks = max(3, min(len(wanted), 2_000_000 // count))
+    scans = max(3, min(len(wanted), 2_000_000 // count))
     began = time.perf_counter()
     scanned = [
-        max((length for bits, shift, length in plain if address >> shift == bits), default=None)
-        for address in wanted[:looks]
+        max((length for bits, shift, length in scan_list if address >> shift == bits), default=None)
+        for address in wanted[:scans]
     ]
-    scan_us = (time.perf_counter() - began) / looks * 1e6
-    assert scanned == found[:looks]
+    scan_us = (time.perf_counter() - began) / scans * 1e6
+    assert scanned == found[:scans]
     return {"trie_us": round(trie_us, 2), "scan_us": round(scan_us, 2), "ratio": round(trie_us / scan_us, 5)}
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,8 +1,9 @@
-"""Snapshots: size, time, the longest pause of the request path; appointments with and without them.
+"""Recovery snapshots: size, write and load times, the longest pause of the event loop, and their benefit.
 
-The pause is how late a beat that is due each millisecond runs while a snapshot is written. What the disk
-takes is in a thread. Overlaps are played in simulated time, same seed, one instance killed and started again,
-its files on or off.
+The pause is how late a timer that is due each millisecond fires while a snapshot is written; the disk is
+written by a thread. The benefit is measured in simulated time, with the same seed with and without the files:
+an instance is killed and restarted repeatedly, and retry times that overlap with those that it gave to the
+same customer before (the appointments) are counted.
 """
 
 from __future__ import annotations
@@ -58,8 +59,8 @@
 SIZES = (1_000, 10_000, 100_000, 1_000_000)
 
 
-def life(folder: Path, clock: Any) -> tuple[Gateway, Recorder]:
-    """A gateway and its memory."""
+def start_gateway(folder: Path, clock: Any) -> tuple[Gateway, Recorder]:
+    """A gateway restored from the files in the folder, if there are any, and its recorder."""
     gateway = Gateway(SETTINGS, 5)
     recorder = Recorder(folder, 0, gateway, 600_000, 2_000, clock, lambda *_, **__: None)
     restored = recorder.load()
@@ -69,30 +70,30 @@
     return gateway, recorder
 
 
-def arrived(number: int, customer: int) -> RequestArrived:
+def arrival(number: int, customer: int) -> RequestArrived:
     return RequestArrived(number, customer, 0, 0, 1.0, 0, 3, 4000.0)
 
 
-def writing(customers: int, folder: Path) -> dict[str, float]:
-    """One snapshot of so many customers with a promise each, beside a beat."""
-    gateway, recorder = life(folder, lambda: START)
+def snapshot_costs(customers: int, folder: Path) -> dict[str, float]:
+    """Write and load a snapshot of this many customers, each with an outstanding retry time."""
+    gateway, recorder = start_gateway(folder, lambda: START)
     for number in range(customers):
-        gateway.customer_for(START, arrived(number, number)).schedule_return(START, 1.0, 0.0)
+        gateway.customer_for(START, arrival(number, number)).schedule_return(START, 1.0, 0.0)
         gateway.customers[number].end_of_queue_time = START + 60_000
         recorder.tracked[number] = None
     gc.collect()
     gc.freeze()
-    late = [0.0]
+    max_delay_s = [0.0]
 
-    def beat() -> None:
+    def measure_delays() -> None:
         while True:
             due = time.perf_counter() + 0.001
             gevent.sleep(0.001)
-            late[0] = max(late[0], time.perf_counter() - due)
+            max_delay_s[0] = max(max_delay_s[0], time.perf_counter() - due)
 
-    beating = gevent.spawn(beat)
+    delay_greenlet = gevent.spawn(measure_delays)
     gevent.sleep(0.2)
-    quiet, late[0] = late[0], 0.0
+    idle_delay_s, max_delay_s[0] = max_delay_s[0], 0.0
     background = Background(1.0, lambda *_, **__: None)
     background.scheduler = Scheduler(0.5, max_saved_ms=5.0)
     job = background.scheduler.add(Job("snapshot", recorder.snapshot, 0.0, 0), precise_ms())
@@ -100,74 +101,77 @@
     background.start()
     while not recorder.counts["snapshots"]:
         gevent.sleep(0.005)
-    took = time.perf_counter() - began
+    write_s = time.perf_counter() - began
     background.stop()
-    beating.kill()
+    delay_greenlet.kill()
     began = time.perf_counter()
-    life(folder, lambda: START + 1)
-    loading = time.perf_counter() - began
+    start_gateway(folder, lambda: START + 1)
+    load_s = time.perf_counter() - began
     gc.unfreeze()
     return {
-        "longest_pause_ms": round(late[0] * 1000, 2),
-        "pause_without_ms": round(quiet * 1000, 2),
+        "longest_pause_ms": round(max_delay_s[0] * 1000, 2),
+        "pause_without_ms": round(idle_delay_s * 1000, 2),
         "longest_slice_ms": round(job.longest_slice_ms, 2),
         "snapshot_bytes": recorder.counts["bytes"],
-        "write_ms": round(took * 1000, 1),
-        "load_ms": round(loading * 1000, 1),
+        "write_ms": round(write_s * 1000, 1),
+        "load_ms": round(load_s * 1000, 1),
     }
 
 
-def overlaps(files: bool, folder: Path, seed: int = 7) -> dict[str, int]:
-    """60 s of refusals for 40 customers, a kill every 5 s; appointments in a queue given out before."""
-    draw, now, number = Random(seed), START, 0
+def overlaps(keep_files: bool, folder: Path, seed: int = 7) -> dict[str, int]:
+    """Count overlapping retry times in 60 s of refusals for 40 customers, with a restart every 5 s.
+
+    keep_files: the snapshots and journals survive each restart.
+    """
+    random, now, number = Random(seed), START, 0
     clock = lambda: now  # noqa: E731 - the simulated time
-    gateway, recorder = life(folder, clock)
-    given_out: dict[int, float] = {}
-    found = appointments = 0
-    killed = walked = now
+    gateway, recorder = start_gateway(folder, clock)
+    latest_given: dict[int, float] = {}  # by customer: the latest retry time that it was given
+    overlapping = appointments = 0
+    killed_at = snapshot_at = now
     while now < START + 60_000:
-        now += draw.expovariate(1 / 4)
-        number, customer = number + 1, draw.randrange(40)
-        for action in gateway.handle(now, arrived(number, customer)):
+        now += random.expovariate(1 / 4)
+        number, customer = number + 1, random.randrange(40)
+        for action in gateway.handle(now, arrival(number, customer)):
             if isinstance(action, Refuse):
-                back = now + action.retry_after_ms
-                recorder.record_refusal(customer, 0, 3, back)
+                retry_at = now + action.retry_after_ms
+                recorder.record_refusal(customer, 0, 3, retry_at)
                 appointments += 1
-                found += back <= given_out.get(customer, 0.0)
-                given_out[customer] = max(given_out.get(customer, 0.0), back)
+                overlapping += retry_at <= latest_given.get(customer, 0.0)
+                latest_given[customer] = max(latest_given.get(customer, 0.0), retry_at)
             elif isinstance(action, Send):
                 recorder.record_spent_units(customer, 0, 3, 1.0)
                 gateway.handle(now, AttemptEnded(number, 0, action.backend, Outcome.OK, 10.0, True))
         recorder.flush()
-        if now - walked > 1_000:
-            walked = now
+        if now - snapshot_at > 1_000:
+            snapshot_at = now
             for pause_ms in recorder.snapshot():
                 gevent.sleep((pause_ms or 0.0) / 1000)
-        if now - killed > 5_000:
-            killed = now
-            if not files:
+        if now - killed_at > 5_000:
+            killed_at = now
+            if not keep_files:
                 for path in folder.glob("recovery-*"):
                     path.unlink()
-            gateway, recorder = life(folder, clock)
-    return {"appointments": appointments, "overlapping": found}
+            gateway, recorder = start_gateway(folder, clock)
+    return {"appointments": appointments, "overlapping": overlapping}
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true", help="one JSON object on the last line")
-    parser.add_argument("--most", type=int, default=SIZES[-1], help="no more customers than this")
+    parser.add_argument("--most", type=int, default=SIZES[-1], help="the largest number of customers")
     args = parser.parse_args()
     result: dict[str, Any] = {}
     for customers in (size for size in SIZES if size <= args.most):
         with tempfile.TemporaryDirectory() as name:
-            figures = writing(customers, Path(name))
+            figures = snapshot_costs(customers, Path(name))
         for key, value in figures.items():
             result.setdefault(key, {})[str(customers)] = value
         print(customers, figures, flush=True)
     result["overlapping_appointments"] = {}
-    for word, files in (("without", False), ("with", True)):
+    for label, keep_files in (("without", False), ("with", True)):
         with tempfile.TemporaryDirectory() as name:
-            result["overlapping_appointments"][word] = overlaps(files, Path(name))
+            result["overlapping_appointments"][label] = overlaps(keep_files, Path(name))
     print(result["overlapping_appointments"])
     if args.json:
         print(msgspec.json.encode(result).decode())
--- a/examples/client/refusal.py
+++ b/examples/client/refusal.py
@@ -1,4 +1,4 @@
-"""Shows a refusal: asks beyond a small quota until told to come back. `refusal.py GATEWAY TOKEN`"""
+"""Exceeds a small quota until a call is refused; prints when to retry. Usage: `refusal.py GATEWAY TOKEN`"""
 
 import sys
 
--- a/examples/client/till.py
+++ b/examples/client/till.py
@@ -1,4 +1,4 @@
-"""A store's till: asks for a quote, then switches. `till.py GATEWAY TOKEN`"""
+"""A store's till: requests a quote, then switches the tariff. Usage: `till.py GATEWAY TOKEN`"""
 
 import sys
 
@@ -12,4 +12,4 @@
     switch = client.call("POST", "/switches", effect="unsafe", deadline_ms=5_000, body=b'{"tariff": "night"}')
     print("switch:", switch.result.outcome.value)
     if switch.result.outcome is Outcome.UNKNOWN:
-        print("it may have run: look at the account before switching again")
+        print("the switch may have run: check the account before repeating it")
