--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -87,10 +87,10 @@
     """Serve backends, discovery and counter, and write the ingress's configuration into the folder."""
     backends = [PlatformBackend(BackendConfig(seed=i, work_ms=work_ms)) for i in range(BACKENDS)]
     for backend in backends:
-        backend.ledger.note = lambda *_args, **_fields: None  # type: ignore[method-assign]
+        backend.ledger.record = lambda *_args, **_fields: None  # type: ignore[method-assign]
         backend.start()
     counter = PlatformCounter(CounterStandinConfig())
-    counter.ledger.note = lambda *_args, **_fields: None  # type: ignore[method-assign]
+    counter.ledger.record = lambda *_args, **_fields: None  # type: ignore[method-assign]
     counter.start()
     instances = [
         {
--- a/fuzz/__init__.py
+++ b/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Fuzzing by hand and, with a small budget, in CI: seeded, checked against other readers."""
+"""Reproducible fuzzers, checked against oracles; CI runs them for a short time."""
--- a/fuzz/headers.py
+++ b/fuzz/headers.py
@@ -1,11 +1,11 @@
-"""Fuzzes what a stranger's bytes reach first: header parsing, addresses, original requests, reports.
+"""Fuzzes the parsers of untrusted input: requests, addresses, original requests, reports, bearer tokens.
 
     python -m fuzz.headers --seconds 20 [--seed N]
 
-Inputs are built from pieces that such parsers trip over, then bent: bytes flipped, cut, doubled, moved. Each
-target is held to an oracle: another reader (the standard library's ipaddress), the same bytes split
-otherwise, or the rule that only Rejected with a 4xx or 5xx may come out. Exit 1 and a line with the input
-for a find.
+Inputs are joined from fragments that are difficult for such parsers, then mutated: bytes are changed,
+deleted, duplicated and inserted. Each target is compared with an oracle: another implementation (such as the
+standard library's ipaddress), the same bytes split differently, or the rule that the only exception is
+Rejected with a 4xx or 5xx status. Each failure is printed with its input, and the exit code is then 1.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tamarindfold.http1.requests import Headers, Rejected, Request, RequestReader
 from tamarindfold.introspection import bearer
 
-PIECES = [
+FRAGMENTS = [
     b"10.0.0.1",
     b"203.0.113.7",
     b"::ffff:10.0.0.1",
@@ -79,7 +79,7 @@
     b"5, 5",
     b'{"request":"a","status":200,"elapsed_ms":1}',
 ]
-NAMES = [
+HEADER_NAMES = [
     b"Host",
     b"X-Forwarded-For",
     b"Forwarded",
@@ -98,22 +98,22 @@
     b"X-Forwarded-Host",
     b"",
 ]
-TRUSTED = ["10.0.0.0/8", "fd00::/8", "127.0.0.0/8"]
-TRUST = TrustedProxies(TRUSTED)
-NETWORKS = [ip_network(text) for text in TRUSTED]
-CONFIGURED = (
+TRUSTED_RANGES = ["10.0.0.0/8", "fd00::/8", "127.0.0.0/8"]
+TRUSTED_PROXIES = TrustedProxies(TRUSTED_RANGES)
+TRUSTED_NETWORKS = [ip_network(text) for text in TRUSTED_RANGES]
+HEADER_CONFIGURATIONS = (
     OriginalRequestHeaders(),
     OriginalRequestHeaders.from_config(["x-original-method"], ["x-original-uri"], ["host"], "/auth", ["a"]),
 )
 
 
-class Found(Exception):
-    """A target broke its oracle."""
+class OracleMismatch(Exception):
+    """A target behaved differently from its oracle; the text holds the input."""
 
 
-def value(random: Random) -> bytes:
-    """Some pieces, bent."""
-    data = bytearray(b"".join(random.choices(PIECES, k=random.randint(0, 5))))
+def random_value(random: Random) -> bytes:
+    """Up to five fragments, with up to four mutations."""
+    data = bytearray(b"".join(random.choices(FRAGMENTS, k=random.randint(0, 5))))
     for _ in range(random.choice((0, 0, 1, 2, 4))):
         if not data:
             break
@@ -130,34 +130,34 @@
     return bytes(data)
 
 
-def headers(random: Random) -> Headers:
-    """Header pairs as the reader gives them: names in lower case, any value."""
-    return [(random.choice(NAMES).lower(), value(random)) for _ in range(random.randint(0, 6))]
+def random_headers(random: Random) -> Headers:
+    """Header pairs as the request reader returns them: lower-case names, any value."""
+    return [(random.choice(HEADER_NAMES).lower(), random_value(random)) for _ in range(random.randint(0, 6))]
 
 
-# ---- targets
+# ---- targets: their names are part of the random seeds and of the output
 
 
 def addresses(random: Random) -> None:
-    """An address is one to us exactly when it is one to ipaddress, and is the same."""
-    text = value(random).decode("latin-1")
+    """The address parser accepts what ipaddress accepts, with the same result."""
+    text = random_value(random).decode("latin-1")
     try:
-        ours: int | None = parse_address(text)
+        actual: int | None = parse_address(text)
     except ValueError:
-        ours = None
+        actual = None
     try:
-        theirs = ip_address(text)
-        bits: int | None = int(theirs) if theirs.version == 6 else 0xFFFF << 32 | int(theirs)
+        parsed = ip_address(text)
+        expected: int | None = int(parsed) if parsed.version == 6 else 0xFFFF << 32 | int(parsed)
         if "%" in text:
-            bits = None  # a scope belongs to one machine: no address from elsewhere has one
+            expected = None  # scoped addresses are local to one machine and must be rejected
     except ValueError:
-        bits = None
-    if ours != bits:
-        raise Found(f"parse_address({text!r}): {ours}, ipaddress: {bits}")
+        expected = None
+    if actual != expected:
+        raise OracleMismatch(f"parse_address({text!r}): {actual}, ipaddress: {expected}")
 
 
 def tries(random: Random) -> None:
-    """The trie finds what a scan of networks finds."""
+    """The prefix trie finds the same network as a linear scan."""
     networks = [
         ip_network((random.getrandbits(32) >> (32 - n) << (32 - n), n))
         for n in random.choices(range(33), k=random.randint(0, 12))
@@ -165,76 +165,79 @@
     trie: PrefixTrie[str] = PrefixTrie()
     for network in networks:
         trie.add(str(network), str(network))
-    inside = [int(n.network_address) | random.getrandbits(32) & int(n.hostmask) for n in networks]
-    for one in [random.getrandbits(32), *inside]:
-        holding = [n for n in networks if ip_address(one) in n]
-        best = max(holding, key=lambda n: n.prefixlen, default=None)
-        found = trie.find(0xFFFF << 32 | one)
+    members = [int(n.network_address) | random.getrandbits(32) & int(n.hostmask) for n in networks]
+    for candidate in [random.getrandbits(32), *members]:
+        matching = [n for n in networks if ip_address(candidate) in n]
+        best = max(matching, key=lambda n: n.prefixlen, default=None)
+        found = trie.find(0xFFFF << 32 | candidate)
         if found != (str(best) if best is not None else None):
-            raise Found(f"trie of {networks} for {ip_address(one)}: {found}, scan: {best}")
+            raise OracleMismatch(f"trie of {networks} for {ip_address(candidate)}: {found}, scan: {best}")
 
 
 def chains(random: Random) -> None:
-    """A chain gives an address or 400; behind an untrusted peer nothing in it counts."""
-    given = [pair for pair in headers(random) if pair[0] in (b"x-forwarded-for", b"forwarded")]
+    """A forwarding chain gives a client address or 400; from an untrusted peer, the chain is ignored."""
+    chain = [pair for pair in random_headers(random) if pair[0] in (b"x-forwarded-for", b"forwarded")]
     peer = random.choice(["10.0.0.9", "203.0.113.9", "::ffff:10.1.1.1", "2001:db8::7"])
     try:
-        client = TRUST.client_address(peer, given)
+        client = TRUSTED_PROXIES.client_address(peer, chain)
     except Rejected as fault:
         if fault.status != 400:
-            raise Found(f"chain {given!r}: {fault.status}") from None
+            raise OracleMismatch(f"chain {chain!r}: {fault.status}") from None
         return
     parsed = ip_address(client)
     parsed = getattr(parsed, "ipv4_mapped", None) or parsed
-    trusted = any(parsed.version == n.version and parsed in n for n in NETWORKS)
-    outside = peer in ("203.0.113.9", "2001:db8::7")
-    if (outside and client != peer) or (client in TRUST) != trusted:
-        raise Found(f"chain {given!r} from {peer}: {client}")
+    trusted = any(parsed.version == n.version and parsed in n for n in TRUSTED_NETWORKS)
+    is_untrusted_peer = peer in ("203.0.113.9", "2001:db8::7")
+    if (is_untrusted_peer and client != peer) or (client in TRUSTED_PROXIES) != trusted:
+        raise OracleMismatch(f"chain {chain!r} from {peer}: {client}")
 
 
 def originals(random: Random) -> None:
-    """An original request has a method and a target that stood in the headers or the path, or is a 4xx."""
-    target = random.choice((b"/auth", b"/auth" + value(random)))
-    asked = Request(random.choice(("GET", "POST")), target, headers(random))
-    for names in CONFIGURED:
+    """Method and target of an original request are taken from headers or path; otherwise it is a 4xx."""
+    target = random.choice((b"/auth", b"/auth" + random_value(random)))
+    request = Request(random.choice(("GET", "POST")), target, random_headers(random))
+    for names in HEADER_CONFIGURATIONS:
         try:
-            found = parse_original_request(asked, names)
+            found = parse_original_request(request, names)
         except Rejected as fault:
             if not 400 <= fault.status < 500:
-                raise Found(f"original {asked!r}: {fault.status}") from None
+                raise OracleMismatch(f"original {request!r}: {fault.status}") from None
             continue
-        stood = {v for _, v in asked.headers} | {asked.target.removeprefix(b"/auth"), asked.method.encode()}
-        if found.target not in stood or found.method.encode() not in stood:
-            raise Found(f"original {asked!r}: {found!r}")
+        allowed = {v for _, v in request.headers} | {
+            request.target.removeprefix(b"/auth"),
+            request.method.encode(),
+        }
+        if found.target not in allowed or found.method.encode() not in allowed:
+            raise OracleMismatch(f"original {request!r}: {found!r}")
 
 
 def reports(random: Random) -> None:
-    """A body is reports within their bounds, or 400 or 413."""
-    good = b'{"request":"b","status":0,"elapsed_ms":2.5,"units":1}\n'
-    body = b"".join(random.choices([*PIECES, b"\n", good], k=random.randint(0, 6)))
+    """A body gives reports with all values in range, or 400 or 413."""
+    valid_line = b'{"request":"b","status":0,"elapsed_ms":2.5,"units":1}\n'
+    body = b"".join(random.choices([*FRAGMENTS, b"\n", valid_line], k=random.randint(0, 6)))
     try:
         found = parse_reports(body)
     except Rejected as fault:
         if fault.status not in (400, 413):
-            raise Found(f"reports {body!r}: {fault.status}") from None
+            raise OracleMismatch(f"reports {body!r}: {fault.status}") from None
         return
     if not all(r.status in (0, *range(100, 600)) and r.elapsed_ms >= 0 and r.units >= 0 for r in found):
-        raise Found(f"reports {body!r}: {found}")
+        raise OracleMismatch(f"reports {body!r}: {found}")
 
 
 def tokens(random: Random) -> None:
-    """An Authorization value gives a token of allowed characters, none, or BadCredentials."""
-    given = value(random)
+    """An Authorization value gives a token of allowed characters, None, or BadCredentials."""
+    header = random_value(random)
     try:
-        token = bearer.parse_authorization(given)
+        token = bearer.parse_authorization(header)
     except bearer.BadCredentials:
         return
     if token is not None and (not token or any(c <= 32 or c > 126 or c in b'",\\' for c in token)):
-        raise Found(f"bearer {given!r}: {token!r}")
+        raise OracleMismatch(f"bearer {header!r}: {token!r}")
 
 
 def _read_all(parts: list[bytes]) -> tuple[list[tuple[str, bytes, Headers, bytes]], int]:
-    """What a reader makes of bytes that come in these parts, and the status where it gives up."""
+    """The requests read from these parts, and the status if the reader rejects the input, else 0."""
     reader = RequestReader(4096, 40, 4096)
     status = 0
     try:
@@ -246,11 +249,11 @@
 
 
 def messages(random: Random) -> None:
-    """The same bytes are the same requests however they are split; values hold no CR, LF or NUL."""
-    target = value(random).replace(b" ", b"")
+    """The same bytes give the same requests however they are split; no value contains CR, LF or NUL."""
+    target = random_value(random).replace(b" ", b"")
     lines = [random.choice((b"GET", b"POST", b"get", b"")) + b" /" + target + b" HTTP/1.1"]
     lines += [
-        random.choice(NAMES) + random.choice((b": ", b":", b" : ")) + value(random)
+        random.choice(HEADER_NAMES) + random.choice((b": ", b":", b" : ")) + random_value(random)
         for _ in range(random.randint(0, 6))
     ]
     lines.append(b"Host: a")
@@ -258,38 +261,42 @@
     whole, status = _read_all([data])
     cuts = sorted(random.sample(range(len(data) + 1), min(4, len(data))))
     split, split_status = _read_all([data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True)])
-    # bounds count what was fed, so a fault may come a part earlier; which requests were whole may not differ
+    # The size limits count the bytes fed so far, so a rejection may come one part earlier and with another
+    # status; the complete requests must not differ.
     if whole != split or bool(status) != bool(split_status):
-        raise Found(f"message {data!r}: {whole} {status}, in parts {cuts}: {split} {split_status}")
+        raise OracleMismatch(f"message {data!r}: {whole} {status}, in parts {cuts}: {split} {split_status}")
     for method, target, found, _ in whole:
         if any(c in target + b"".join(v for _, v in found) for c in b"\r\n\x00") or not method.isascii():
-            raise Found(f"message {data!r}: {target!r} {found!r}")
+            raise OracleMismatch(f"message {data!r}: {target!r} {found!r}")
     if status and not 400 <= status < 600:
-        raise Found(f"message {data!r}: status {status}")
+        raise OracleMismatch(f"message {data!r}: status {status}")
 
 
 TARGETS: list[Callable[[Random], None]] = [addresses, tries, chains, originals, reports, tokens, messages]
 
 
 def run(seed: int, rounds: int | None, seconds: float | None) -> tuple[int, list[str]]:
-    """Rounds over all targets, by count or time; how many, and what was found (one for each target)."""
-    until = time.monotonic() + seconds if seconds is not None else None
-    found: dict[str, str] = {}
+    """Run all targets for a number of rounds or seconds.
+
+    Returns the number of completed rounds and the failures; a target is skipped after its first failure.
+    """
+    deadline = time.monotonic() + seconds if seconds is not None else None
+    failures: dict[str, str] = {}
     done = 0
-    while (rounds is None or done < rounds) and (until is None or time.monotonic() < until):
+    while (rounds is None or done < rounds) and (deadline is None or time.monotonic() < deadline):
         for target in TARGETS:
-            if target.__name__ in found:
+            if target.__name__ in failures:
                 continue
             try:
                 target(Random(f"{seed}/{done}/{target.__name__}"))
-            except Found as find:
-                found[target.__name__] = f"{target.__name__}, seed {seed}, round {done}: {find}"
+            except OracleMismatch as mismatch:
+                failures[target.__name__] = f"{target.__name__}, seed {seed}, round {done}: {mismatch}"
             except Exception as error:
-                found[target.__name__] = (
+                failures[target.__name__] = (
                     f"{target.__name__}, seed {seed}, round {done}: {type(error).__name__}: {error}"
                 )
         done += 1
-    return done, list(found.values())
+    return done, list(failures.values())
 
 
 def main() -> None:
@@ -297,11 +304,11 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
-    done, found = run(args.seed, None, args.seconds)
-    print(f"{done} rounds of {len(TARGETS)} targets, {len(found)} finds")
-    for line in found:
+    done, failures = run(args.seed, None, args.seconds)
+    print(f"{done} rounds of {len(TARGETS)} targets, {len(failures)} failures")
+    for line in failures:
         print(line)
-    sys.exit(1 if found else 0)
+    sys.exit(1 if failures else 0)
 
 
 if __name__ == "__main__":
--- a/tamarindfold/cli/__init__.py
+++ b/tamarindfold/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `tamarindfold` command."""
+"""The `tamarindfold` command line."""
--- a/tamarindfold/cli/fleet.py
+++ b/tamarindfold/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`fleet up` keeps the programs of a file running; `fleet check` says in which order."""
+"""`fleet up` runs the programs of a fleet file on this machine; `fleet check` prints their start order."""
 
 from __future__ import annotations
 
@@ -15,23 +15,26 @@
 
 @click.group(name="fleet")
 def group() -> None:
-    """Run a fleet's programs on one machine."""
+    """Run the programs of a fleet on one machine."""
 
 
 @group.command()
 @FILE
-@click.option("--seconds", type=click.FloatRange(min=0.1), help="End after this time.")
+@click.option("--seconds", type=click.FloatRange(min=0.1), help="Stop after this time.")
 def up(file: Path, seconds: float | None) -> None:
-    """Start everything, keep it running, stop it on SIGTERM. Exit 0: all in good order."""
+    """Start all programs, restart those that end, and stop them on SIGTERM.
+
+    Exit code 0: all ran and stopped as they should; 1: some did not.
+    """
     import gevent
     import msgspec
 
     from tamarindfold.supervisor.driver import FleetFile, Supervisor, validate_fleet_file
 
-    found = load(file, FleetFile, validate_fleet_file)
+    fleet = load(file, FleetFile, validate_fleet_file)
     if seconds is not None:
-        found = msgspec.structs.replace(found, up_ms=seconds * 1000)
-    supervisor = Supervisor(found, lambda line: click.echo(line))
+        fleet = msgspec.structs.replace(fleet, up_ms=seconds * 1000)
+    supervisor = Supervisor(fleet, lambda line: click.echo(line))
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, supervisor.stop_requested.set)
     sys.exit(0 if supervisor.run() else 1)
@@ -40,10 +43,10 @@
 @group.command()
 @FILE
 def check(file: Path) -> None:
-    """Validate a fleet's file and print the order of its programs."""
+    """Validate a fleet file and print the start order of its programs."""
     from tamarindfold.supervisor.driver import FleetFile, build_policy, validate_fleet_file
 
-    made = build_policy(load(file, FleetFile, validate_fleet_file))
-    for name in made.order:
-        after = ", ".join(made.states[name].spec.after)
+    start_policy = build_policy(load(file, FleetFile, validate_fleet_file))
+    for name in start_policy.order:
+        after = ", ".join(start_policy.states[name].spec.after)
         click.echo(f"{name}{f' after {after}' if after else ''}")
--- a/tamarindfold/cli/keeper.py
+++ b/tamarindfold/cli/keeper.py
@@ -1,4 +1,4 @@
-"""`keeper` runs one of the processes that keep the agreed settings."""
+"""`keeper` runs one replica of the consensus group that stores the shared settings."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 @click.option(
     "--trust-disk",
     is_flag=True,
-    help="Vote by this disk at once, though not all other keepers can be asked. Only where it is "
-    "certain that it is neither old nor wiped, and another keeper is gone for good.",
+    help="Vote at once, without waiting until all other keepers have been asked. Use this only if another "
+    "keeper is permanently lost and the data on this disk is certainly neither outdated nor wiped.",
 )
 def keeper(file: Path, trust_disk: bool) -> None:
-    """Keep the agreed settings, with the other keepers, until SIGTERM."""
-    from tamarindfold.cli import lifeline
+    """Run a keeper, a replica of the shared settings, until SIGTERM."""
+    from tamarindfold.cli import shutdown
     from tamarindfold.ingress.logs import logger
     from tamarindfold.keeper.config import KeeperConfig, check
     from tamarindfold.keeper.server import KeeperServer
 
     config = load(file, KeeperConfig, check)
     try:
-        made = KeeperServer(config, logger(config.log_level, program="keeper", keeper=config.me), trust_disk)
-        where = made.start()
+        server = KeeperServer(
+            config, logger(config.log_level, program="keeper", keeper=config.me), trust_disk
+        )
+        address = server.start()
     except (OSError, ValueError) as error:
         raise ConfigError(f"{file}: {error}") from error
-    lifeline.until_stopped(f"listening on {where}")
-    made.stop()
+    shutdown.wait_until_stopped(f"listening on {address}")
+    server.stop()
--- a/tamarindfold/cli/main.py
+++ b/tamarindfold/cli/main.py
@@ -1,4 +1,4 @@
-"""The command and its groups; exit 2 and one line for anything the user gave wrong."""
+"""The command and its subcommands. Invalid input ends with exit code 2 and one line on standard error."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command line; invalid input gives a one-line message and exit code 2."""
     try:
         cli(standalone_mode=False)
     except ConfigError as error:
--- a/tamarindfold/cli/modelcheck.py
+++ b/tamarindfold/cli/modelcheck.py
@@ -1,4 +1,4 @@
-"""`modelcheck` plays the objects that run through orders of events that no test would think of."""
+"""`modelcheck` runs the production objects through many orders of events and checks their invariants."""
 
 from __future__ import annotations
 
@@ -10,46 +10,49 @@
 
 @click.group(name="modelcheck")
 def group() -> None:
-    """Explore the real objects: every order within bounds, long walks by chance, planted faults."""
+    """Check the production objects by exhaustive search within bounds, random walks and seeded faults."""
 
 
 @group.command()
-@click.option("--json", "as_json", is_flag=True, help="All figures as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print all figures as JSON.")
 @click.option(
     "--scale",
     type=click.FloatRange(min=0.001),
     default=1.0,
     show_default=True,
-    help="How much is played; 1 takes about a minute on eight cores.",
+    help="Amount of work; 1 takes about a minute on eight cores.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--workers",
     type=click.IntRange(min=1),
     default=lambda: os.cpu_count() or 1,
-    help="Processes; one for each core where not given.",
+    help="Number of processes; by default one per core.",
 )
 def agreement(as_json: bool, scale: float, seed: int, workers: int) -> None:
-    """Keepers, leases, shares and versions. Exit 0: nothing broken, and every planted fault found."""
+    """Check keepers, leases, shares and versions.
+
+    Exit code 0: no invariant was violated, and every seeded fault was detected; 1 otherwise.
+    """
     import msgspec
 
     from tamarindfold.modelcheck.agreement import check
 
-    made = check(scale, seed, workers)
+    result = check(scale, seed, workers)
     if as_json:
-        click.echo(msgspec.json.format(msgspec.json.encode(made), indent=2).decode())
+        click.echo(msgspec.json.format(msgspec.json.encode(result), indent=2).decode())
     else:
         click.echo(
-            f"{made['model_states']} states, {made['model_moves']} moves, "
-            f"{made['model_states_per_s']} a second and core; searched whole: "
-            f"{', '.join(made['searched_whole']) or 'none'}"
+            f"{result['model_states']} states, {result['model_moves']} moves, "
+            f"{result['model_states_per_s']} per second and core; searched completely: "
+            f"{', '.join(result['searched_whole']) or 'none'}"
         )
         click.echo(
-            f"planted faults found: {made['planted_found']} of {made['planted']}"
-            + "".join(f"; missed: {name}" for name in made["missed"])
+            f"seeded faults detected: {result['planted_found']} of {result['planted']}"
+            + "".join(f"; missed: {name}" for name in result["missed"])
         )
-        for name, what in made["broken"].items():
-            click.echo(f"BROKEN in {name}: {what['what']}")
-            for move in what["trace"]:
+        for name, violation in result["broken"].items():
+            click.echo(f"VIOLATION in {name}: {violation['what']}")
+            for move in violation["trace"]:
                 click.echo(f"  {move}")
-    sys.exit(0 if made["passed"] else 1)
+    sys.exit(0 if result["passed"] else 1)
--- a/tamarindfold/cli/settings.py
+++ b/tamarindfold/cli/settings.py
@@ -1,4 +1,4 @@
-"""`settings`: the agreed settings, for a person."""
+"""`settings`: operator commands for the settings that the keepers agree on."""
 
 from __future__ import annotations
 
@@ -15,12 +15,17 @@
 from tamarindfold.config.addresses import split_address
 from tamarindfold.config.load import ConfigError, load
 
-WAIT_S = 30.0
-LOOK_S = 0.2
+REQUEST_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.2
 
 
 @click.group(name="settings")
-@click.option("--keepers", envvar="TAMARINDFOLD_KEEPERS", default="", help="HOST:PORT of each, with commas.")
+@click.option(
+    "--keepers",
+    envvar="TAMARINDFOLD_KEEPERS",
+    default="",
+    help="HOST:PORT of each keeper, separated by commas.",
+)
 @click.option(
     "--key",
     envvar="TAMARINDFOLD_KEY",
@@ -30,45 +35,50 @@
 )
 @click.pass_context
 def group(context: click.Context, keepers: str, key: Path | None) -> None:
-    """Propose, look at and follow the settings that all instances agree on."""
+    """Propose, inspect and roll out the settings that all instances share."""
     context.obj = keepers, key
 
 
-def _operator(context: click.Context) -> Any:
+def _operator_client(context: click.Context) -> Any:
     from tamarindfold.agreement.operator_client import OperatorClient
     from tamarindfold.identity.files import signing_key
 
     keepers, key = context.obj
     if not keepers or key is None:
-        raise ConfigError("settings: --keepers and --key are needed (or TAMARINDFOLD_KEEPERS and _KEY)")
+        raise ConfigError(
+            "settings: --keepers and --key are needed (or set TAMARINDFOLD_KEEPERS and TAMARINDFOLD_KEY)"
+        )
     try:
         return OperatorClient([split_address(k, "--keepers") for k in keepers.split(",")], signing_key(key))
     except (OSError, ValueError) as error:
         raise ConfigError(f"settings: {error}") from error
 
 
-def _look(operator: Any) -> Any:
+def _read_status(operator: Any) -> Any:
+    """The most recent status that a keeper gives, and the decoded state that it contains."""
     from tamarindfold.agreement.operator_client import NoAnswer
     from tamarindfold.agreement.state import decode
 
     try:
-        look = operator.status()
+        status = operator.status()
     except NoAnswer as error:
         raise ConfigError(f"settings: {error}") from error
-    return look, decode(look.state)
+    return status, decode(status.state)
 
 
-def _tell(operator: Any, what: Any) -> Any:
+def _send(operator: Any, request: Any) -> Any:
+    """Send a request to the leader; exits with code 3 if its result stays unknown."""
     from tamarindfold.agreement.operator_client import NoAnswer
 
     try:
-        return operator.send(what, WAIT_S)
+        return operator.send(request, REQUEST_TIMEOUT_S)
     except NoAnswer as error:
         click.echo(f"unknown: {error}", err=True)
         sys.exit(3)
 
 
-def _document(state: Any, version: int | None) -> Any:
+def _find_document(state: Any, version: int | None) -> Any:
+    """The document of a version that is stored or pending; by default, of the version in force."""
     wanted = state.version if version is None else version
     pending = {p.version: p.document for p in state.queue}
     found = state.documents.get(wanted) or pending.get(wanted)
@@ -82,13 +92,13 @@
 
 @group.command()
 @click.argument("path", type=click.Path(path_type=Path))
-@click.option("--if-missing", is_flag=True, help="Leave keys that are there as they are.")
+@click.option("--if-missing", is_flag=True, help="Do nothing if the keys already exist.")
 def keys(path: Path, if_missing: bool) -> None:
-    """Make the fleet's signing key PATH.key, for keepers and operators, and PATH.pub, for instances."""
+    """Create the fleet's key pair: PATH.key for keepers and operators, PATH.pub for instances."""
     from tamarindfold.identity.files import create_key_pair, private_path, public_path
 
     if if_missing and private_path(path).exists() and public_path(path).exists():
-        click.echo(f"{private_path(path)} and {public_path(path)} are there")
+        click.echo(f"{private_path(path)} and {public_path(path)} already exist")
         return
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -100,13 +110,21 @@
 
 @group.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--reason", required=True, help="Why; stands in the history.")
-@click.option("--author", default=getpass.getuser, help="Who; the user's name where not given.")
-@click.option("--base", type=int, help="The version it was made from; the newest where not given.")
-@click.option("--first", multiple=True, help="An instance that is to have it before the others; repeat.")
-@click.option("--wait", is_flag=True, help="Until it is in force, telling who holds it up.")
+@click.option("--reason", required=True, help="Reason for the change; kept in the history.")
+@click.option(
+    "--author", default=getpass.getuser, help="Author of the change; by default the name of the current user."
+)
+@click.option("--base", type=int, help="Version that FILE is based on; by default the newest.")
 @click.option(
-    "--within", type=click.FloatRange(min=0.1), default=60.0, show_default=True, help="Seconds to --wait."
+    "--first", multiple=True, help="Instance that applies the version before the others; may be repeated."
+)
+@click.option("--wait", is_flag=True, help="Wait until the version is in force, and print what delays it.")
+@click.option(
+    "--within",
+    type=click.FloatRange(min=0.1),
+    default=60.0,
+    show_default=True,
+    help="Seconds that --wait may take.",
 )
 @click.pass_context
 def propose(
@@ -119,48 +137,52 @@
     wait: bool,
     within: float,
 ) -> None:
-    """Propose FILE as the next version. Exit 0: taken (with --wait: in force); 1: not; 3: nobody knows."""
+    """Propose FILE as the next version of the settings.
+
+    Exit code 0: accepted (with --wait: in force); 1: refused (with --wait: not in force); 3: unknown.
+    """
     from tamarindfold.agreement import wire
     from tamarindfold.agreement.document import Document, check
 
     document = load(file, Document, check)
-    operator = _operator(context)
+    operator = _operator_client(context)
     if base is None:
-        base = _look(operator)[1].newest
-    told = _tell(operator, wire.Proposal(document, base, author, reason, uuid.uuid4().hex, first))
-    if not told.version:
-        click.echo(f"refused: {file}: {told.reason}", err=True)
+        base = _read_status(operator)[1].newest
+    reply = _send(operator, wire.Proposal(document, base, author, reason, uuid.uuid4().hex, first))
+    if not reply.version:
+        click.echo(f"refused: {file}: {reply.reason}", err=True)
         sys.exit(1)
-    click.echo(f"version {told.version} proposed")
+    click.echo(f"version {reply.version} proposed")
     if wait:
-        sys.exit(_follow(operator, told.version, within))
-
-
-def _follow(operator: Any, version: int, seconds: float) -> int:
-    until, said = time.monotonic() + seconds, ""
-    while time.monotonic() < until:
-        look, state = _look(operator)
-        note = next((n for n in state.history if n.version == version), None)
-        if note is not None and note.status != "pending":
-            click.echo(f"version {version} {note.status}")
-            return 0 if note.status.startswith("in force") else 1
-        if look.waits_for and look.waits_for != said:
-            said = look.waits_for
-            click.echo(f"  {said}")
-        time.sleep(LOOK_S)
-    click.echo(f"version {version} is not in force yet: {said or 'no leader answers'}", err=True)
+        sys.exit(_wait_until_in_force(operator, reply.version, within))
+
+
+def _wait_until_in_force(operator: Any, version: int, seconds: float) -> int:
+    """Wait for the version and print what delays it; returns the exit code."""
+    deadline, last_obstacle = time.monotonic() + seconds, ""
+    while time.monotonic() < deadline:
+        status, state = _read_status(operator)
+        record = next((r for r in state.history if r.version == version), None)
+        if record is not None and record.status != "pending":
+            click.echo(f"version {version} {record.status}")
+            return 0 if record.status.startswith("in force") else 1
+        if status.waits_for and status.waits_for != last_obstacle:
+            last_obstacle = status.waits_for
+            click.echo(f"  {last_obstacle}")
+        time.sleep(POLL_INTERVAL_S)
+    click.echo(f"version {version} is not in force yet: {last_obstacle or 'no leader answers'}", err=True)
     return 1
 
 
 @group.command()
-@click.option("--version", type=int, help="Not the one in force but this.")
+@click.option("--version", type=int, help="Version to print; by default the one in force.")
 @click.pass_context
 def show(context: click.Context, version: int | None) -> None:
-    """Print a version as YAML."""
+    """Print a version of the settings as YAML."""
     import msgspec
 
-    _, state = _look(_operator(context))
-    click.echo(msgspec.yaml.encode(_document(state, version)).decode(), nl=False)
+    _, state = _read_status(_operator_client(context))
+    click.echo(msgspec.yaml.encode(_find_document(state, version)).decode(), nl=False)
 
 
 @group.command()
@@ -168,23 +190,24 @@
 @click.argument("new", type=int)
 @click.pass_context
 def diff(context: click.Context, old: int, new: int) -> None:
-    """What version NEW changes of version OLD."""
+    """Print the differences between the versions OLD and NEW."""
     from tamarindfold.agreement.document import differences
 
-    _, state = _look(_operator(context))
-    for line in differences(_document(state, old), _document(state, new)):
+    _, state = _read_status(_operator_client(context))
+    for line in differences(_find_document(state, old), _find_document(state, new)):
         click.echo(line)
 
 
 @group.command()
 @click.pass_context
 def history(context: click.Context) -> None:
-    """All versions: number, log entry, when, who, why, what became of it."""
-    _, state = _look(_operator(context))
-    for note in state.history:
-        at = datetime.fromtimestamp(note.at_ms / 1000, UTC).isoformat(timespec="seconds")
+    """List all versions: number, log entry, time, author, reason and status."""
+    _, state = _read_status(_operator_client(context))
+    for record in state.history:
+        at = datetime.fromtimestamp(record.at_ms / 1000, UTC).isoformat(timespec="seconds")
         click.echo(
-            f"{note.version:5}  entry {note.number:<6} {at}  {note.author}: {note.reason}  [{note.status}]"
+            f"{record.version:5}  entry {record.number:<6} {at}  "
+            f"{record.author}: {record.reason}  [{record.status}]"
         )
     click.echo(f"chain {state.chain.hex()} at entry {state.number}")
 
@@ -192,51 +215,56 @@
 @group.command()
 @click.pass_context
 def who(context: click.Context) -> None:
-    """Each instance with its place, what it has taken up, its lease, and when it was last heard."""
-    look, state = _look(_operator(context))
-    reports = {report.incarnation: report for report in look.reports}
+    """List all instances: index, known log entry, lease, and time of the last report."""
+    status, state = _read_status(_operator_client(context))
+    reports = {report.incarnation: report for report in status.reports}
     click.echo(
-        f"version {state.version} in force, entry {state.number}, leader keeper {look.leader}, "
-        f"a share is {state.share:.4f} of each sum"
+        f"version {state.version} in force, entry {state.number}, leader keeper {status.leader}, "
+        f"share of each instance {state.share:.4f}"
     )
     for member in sorted(state.members.values(), key=lambda m: m.index):
         report = reports.get(member.incarnation)
-        heard = (
-            f"knows entry {report.number}, led for {report.lease_remaining_ms:.0f} ms more, heard "
+        reported = (
+            f"knows entry {report.number}, lease for {report.lease_remaining_ms:.0f} ms, reported "
             f"{report.age_ms:.0f} ms ago"
             if report is not None
-            else "not heard by this keeper"
+            else "no report to this keeper"
         )
-        cannot = (
-            f", cannot apply {report.ready_version}: {report.apply_error}"
+        obstacle = (
+            f", cannot apply version {report.ready_version}: {report.apply_error}"
             if report and report.apply_error
             else ""
         )
         click.echo(
-            f"  {member.index:3}  {member.name}  place {member.number}"
-            f"{'' if member.active else ' (not settled)'}: {heard}{cannot}"
+            f"  {member.index:3}  {member.name}  joined at entry {member.number}"
+            f"{'' if member.active else ' (not active yet)'}: {reported}{obstacle}"
         )
     for held in sorted(state.held.values(), key=lambda h: h.name):
-        click.echo(f"    -  {held.name}  away since entry {held.number}, may act on {held.share:.4f}")
-    if look.waits_for:
-        click.echo(f"  on its way: version {state.queue[0].version}: {look.waits_for}")
+        click.echo(
+            f"    -  {held.name}  lost since entry {held.number}, may still use share {held.share:.4f}"
+        )
+    if status.waits_for:
+        click.echo(f"  pending: version {state.queue[0].version}: {status.waits_for}")
 
 
-def _command(context: click.Context, what: str, done: str, version: int = 0, name: str = "") -> None:
+def _command(context: click.Context, command: str, success: str, version: int = 0, name: str = "") -> None:
     from tamarindfold.agreement import wire
 
-    told = _tell(_operator(context), wire.OperatorCommand(what, version, name, getpass.getuser()))
-    if not told.version:
-        click.echo(f"refused: {told.reason}", err=True)
+    reply = _send(_operator_client(context), wire.OperatorCommand(command, version, name, getpass.getuser()))
+    if not reply.version:
+        click.echo(f"refused: {reply.reason}", err=True)
         sys.exit(1)
-    click.echo(done.format(told.version))
+    click.echo(success.format(reply.version))
 
 
 @group.command()
 @click.argument("version", type=int)
 @click.pass_context
 def force(context: click.Context, version: int) -> None:
-    """Put a version in force that instances refused or are slow to take; who can't apply it has no lease."""
+    """Put a version in force although instances refuse it or have not applied it yet.
+
+    An instance that cannot apply it gets no lease.
+    """
     _command(context, "force", "put in force as version {}", version)
 
 
@@ -244,15 +272,15 @@
 @click.argument("version", type=int)
 @click.pass_context
 def widen(context: click.Context, version: int) -> None:
-    """Let a version go on from the instances that had it first to all."""
-    _command(context, "widen", f"version {version} goes to all", version)
+    """Roll a version out to all instances, after those that had it first."""
+    _command(context, "widen", f"version {version} is rolled out to all instances", version)
 
 
 @group.command()
 @click.argument("version", type=int)
 @click.pass_context
 def drop(context: click.Context, version: int) -> None:
-    """Take back a version that nobody acts on yet."""
+    """Drop a version that no instance uses yet."""
     _command(context, "drop", f"version {version} is dropped", version)
 
 
@@ -260,5 +288,5 @@
 @click.argument("name")
 @click.pass_context
 def retire(context: click.Context, name: str) -> None:
-    """Say that an instance which is away is gone for good: its share goes to the others."""
+    """Remove a lost instance permanently; its share goes to the others."""
     _command(context, "retire", f"{name} is retired", 0, name)
--- a/tamarindfold/cli/standin.py
+++ b/tamarindfold/cli/standin.py
@@ -1,4 +1,4 @@
-"""`standin NAME` runs one stand-in until SIGTERM; its first line of output says where it is."""
+"""`standin NAME` runs a stand-in until SIGTERM; its first line of output is JSON with its addresses."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 NAMES = ("tariff", "tokens", "counter", "fleet", "proxy")
 
 
-def make(name: str, data: Any, where: str) -> Any:
-    """A stand-in from plain values; ConfigError where they don't fit."""
+def create_standin(name: str, data: Any, source: str) -> Any:
+    """Create a stand-in from decoded YAML. Raises ConfigError, which names the source, on invalid data."""
     from tamarindfold.standins.counter import CounterServer, CounterStandinConfig
     from tamarindfold.standins.fleet import FleetConfig, FleetServer
     from tamarindfold.standins.proxy import ProxyConfig, ProxyServer
@@ -23,35 +23,43 @@
     try:
         match name:
             case "tariff":
-                return TariffServer(convert(data, TariffConfig, where))
+                return TariffServer(convert(data, TariffConfig, source))
             case "tokens":
-                return TokenServer(convert(data, TokensConfig, where))
+                return TokenServer(convert(data, TokensConfig, source))
             case "counter":
-                return CounterServer(convert(data, CounterStandinConfig, where))
+                return CounterServer(convert(data, CounterStandinConfig, source))
             case "proxy":
-                return ProxyServer(convert(data, ProxyConfig, where))
-        return FleetServer(convert(data, FleetConfig, where))
+                return ProxyServer(convert(data, ProxyConfig, source))
+        return FleetServer(convert(data, FleetConfig, source))
     except ValueError as error:
         if isinstance(error, ConfigError):
             raise
-        raise ConfigError(f"{where}: {error}") from error
+        raise ConfigError(f"{source}: {error}") from error
 
 
 @click.command()
 @click.argument("name", type=click.Choice(NAMES))
-@click.option("--config", "file", type=click.Path(path_type=Path), help="YAML; without it all defaults hold.")
+@click.option(
+    "--config",
+    "file",
+    type=click.Path(path_type=Path),
+    help="YAML file; by default, all settings have their defaults.",
+)
 def standin(name: str, file: Path | None) -> None:
-    """Run a stand-in for an outside system; POST /faults to its admin port injects a fault."""
+    """Run a stand-in for an outside system.
+
+    POST /faults on its admin port injects a fault, DELETE /faults ends all faults.
+    """
     import msgspec
 
-    from tamarindfold.cli import lifeline
+    from tamarindfold.cli import shutdown
 
     data = read_yaml(file) if file else {}
-    made = make(name, data or {}, str(file or name))
+    server = create_standin(name, data or {}, str(file or name))
     try:
-        made.start()
+        server.start()
     except OSError as error:
         raise ConfigError(f"{file or name}: port: {error}") from error
-    ready = {"address": made.address, "admin": made.admin_address, "at_ms": made.clock()}
-    lifeline.until_stopped(msgspec.json.encode(ready).decode())
-    made.stop()
+    ready = {"address": server.address, "admin": server.admin_address, "at_ms": server.clock()}
+    shutdown.wait_until_stopped(msgspec.json.encode(ready).decode())
+    server.stop()
--- a/tamarindfold/rehearsal/agreed.py
+++ b/tamarindfold/rehearsal/agreed.py
@@ -14,7 +14,7 @@
 from tamarindfold.rehearsal.keepers import KeeperFleet, halt
 from tamarindfold.rehearsal.marks import Contradictions, Prober, contradictions
 from tamarindfold.rehearsal.processes import Program
-from tamarindfold.standins.ledger import Entry, Ledger, read
+from tamarindfold.standins.ledger import Entry, Ledger, read_entries
 
 DOCUMENT: dict[str, Any] = {
     "classes": [{"name": "quote", "aim_ms": 1500, "deadline_ms": 4000, "worth": 3, "effect": "safe"}],
@@ -88,7 +88,7 @@
         def one(i: int) -> None:
             self.programs[i].address = self.programs[i].start().removeprefix("listening on ")
             self.up[i] = True
-            self.ledger.note(self.clock(), "instance_up", index=i)
+            self.ledger.record(self.clock(), "instance_up", index=i)
 
         gevent.joinall([gevent.spawn(one, i) for i in instances], raise_error=True)
 
@@ -115,31 +115,31 @@
     def kill(self, i: int) -> None:
         """End an instance at once."""
         self.up[i] = False
-        self.ledger.note(self.clock(), "instance_down", index=i)
+        self.ledger.record(self.clock(), "instance_down", index=i)
         self.programs[i].kill()
 
     def leave(self, i: int) -> int | None:
         """End an instance in good order; its exit status."""
         self.up[i] = False
         status = self.programs[i].stop()
-        self.ledger.note(self.clock(), "instance_down", index=i)
+        self.ledger.record(self.clock(), "instance_down", index=i)
         return status
 
     def halt(self, i: int) -> None:
         """Stop an instance where it stands."""
         halt(self.programs[i])
-        self.ledger.note(self.clock(), "instance_stalls", index=i, for_ms=0)
+        self.ledger.record(self.clock(), "instance_stalls", index=i, for_ms=0)
 
     def wake(self, i: int) -> None:
         """Let a stopped instance go on."""
-        self.ledger.note(self.clock(), "instance_resumes", index=i)
+        self.ledger.record(self.clock(), "instance_resumes", index=i)
         self.programs[i].signal(signal.SIGCONT)
 
     # ---- what came of it
 
     def history(self) -> list[Entry]:
         """All that was written down."""
-        return read(self.path)
+        return read_entries(self.path)
 
     def contradictions(self, window_ms: float | None = None) -> Contradictions:
         """Who acted on what beside what."""
--- a/tamarindfold/rehearsal/book.py
+++ b/tamarindfold/rehearsal/book.py
@@ -47,7 +47,7 @@
         ]
         for customer, plan in customer_names(self.day):
             changes += [AddCustomer(customer, plan, 1), self._issue(customer)]
-            self.ledger.note(now_ms, "customer", customer=customer)
+            self.ledger.record(now_ms, "customer", customer=customer)
             self._plan(customer, f"{plan}@1", 0.0)
         self.store.commit(changes, now_ms)
 
@@ -83,7 +83,7 @@
 
     def _plan(self, customer: str, plan: str, at_ms: float) -> None:
         self.plans.setdefault(customer, []).append((at_ms, plan))
-        self.ledger.note(at_ms, "plan", customer=customer, plan=plan, at=at_ms)
+        self.ledger.record(at_ms, "plan", customer=customer, plan=plan, at=at_ms)
 
     def _issue(self, customer: str) -> Issue:
         name, text = keys.generate()
--- a/tamarindfold/rehearsal/evidence.py
+++ b/tamarindfold/rehearsal/evidence.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from tamarindfold.rehearsal.day import ClassFacts, Day, classes, plan_figures
-from tamarindfold.standins.ledger import Entry, read
+from tamarindfold.standins.ledger import Entry, read_entries
 
 
 @dataclass(slots=True)
@@ -138,17 +138,17 @@
 def collect(day: Day, out: Path) -> Evidence:
     """Evidence from the ledgers that a run left in a folder."""
     ledgers = out / "ledgers"
-    servers = [read(ledgers / f"server-{i}.jsonl") for i in range(day.servers.count)]
+    servers = [read_entries(ledgers / f"server-{i}.jsonl") for i in range(day.servers.count)]
     parts = range(day.counter.parts if day.counter else 0)
-    counted = [entry for i in parts for entry in read(ledgers / f"counter-{i}.jsonl")]
+    counted = [entry for i in parts for entry in read_entries(ledgers / f"counter-{i}.jsonl")]
     made = join(
         day,
-        read(ledgers / "clients.jsonl"),
+        read_entries(ledgers / "clients.jsonl"),
         servers,
-        read(ledgers / "fleet.jsonl"),
-        read(ledgers / "run.jsonl"),
+        read_entries(ledgers / "fleet.jsonl"),
+        read_entries(ledgers / "run.jsonl"),
         counted,
-        [read(ledgers / f"proxy-{i}.jsonl") for i in range(len(day.proxies))],
+        [read_entries(ledgers / f"proxy-{i}.jsonl") for i in range(len(day.proxies))],
     )
-    made.marks = read(ledgers / "marks.jsonl")
+    made.marks = read_entries(ledgers / "marks.jsonl")
     return made
--- a/tamarindfold/rehearsal/fleet.py
+++ b/tamarindfold/rehearsal/fleet.py
@@ -298,7 +298,7 @@
             forward_port = int(self.forwards[i].rpartition(":")[2])
         # the ports stay at a restart
         file.write_bytes(msgspec.yaml.encode(self.gateway_config(i, port, forward_port)))
-        self.ledger.note(
+        self.ledger.record(
             self.clock(), "instance_up", index=i, source=source_address(i), forward=self.forwards[i]
         )
 
@@ -322,9 +322,9 @@
     def happen(self, event: Event) -> None:
         """Carry out one event."""
         if event.do in ("rotate", "set_plan") and self.book is not None:
-            self.ledger.note(self.clock(), "event", do=event.do, target=event.customers)
+            self.ledger.record(self.clock(), "event", do=event.do, target=event.customers)
             return self.book.happen(event, self.clock())
-        self.ledger.note(self.clock(), "event", do=event.do, target=event.target)
+        self.ledger.record(self.clock(), "event", do=event.do, target=event.target)
         if self.agreed is not None and self._agreed_happens(self.agreed, event):
             return None
         kind, number = process(event)
@@ -352,7 +352,7 @@
                 self.registry.start()
             case "stall", "instance":
                 halt(self.gateways[number])  # what is noted as stopped does stand still from then on
-                self.ledger.note(self.clock(), "instance_stalls", index=number, for_ms=event.for_ms)
+                self.ledger.record(self.clock(), "instance_stalls", index=number, for_ms=event.for_ms)
                 self._later(event.for_ms, self._resume, number)
             case "stall", "server":
                 fault = {"kind": "stall", "for_ms": event.for_ms}
@@ -394,7 +394,7 @@
         return True
 
     def _kill_gateway(self, number: int) -> None:
-        self.ledger.note(self.clock(), "instance_down", index=number)
+        self.ledger.record(self.clock(), "instance_down", index=number)
         self.gateways[number].kill()
 
     def _standin(self, kind: str, number: int) -> StandinProgram:
@@ -422,4 +422,4 @@
 
     def _resume(self, number: int) -> None:
         self.gateways[number].signal(signal.SIGCONT)
-        self.ledger.note(self.clock(), "instance_resumes", index=number)
+        self.ledger.record(self.clock(), "instance_resumes", index=number)
--- a/tamarindfold/rehearsal/keepers.py
+++ b/tamarindfold/rehearsal/keepers.py
@@ -83,7 +83,7 @@
                     split_address(address, "keeper"),
                     clock,
                     seed + len(self.relays),
-                    ledger.note,
+                    ledger.record,
                     f"127.3.{k}.{len(self.relays) % 250 + 1}",
                 )
         self.programs = [self._keeper(k) for k in range(keepers)]
@@ -201,9 +201,9 @@
         check(made)
         body = wire.Proposal(made, base, author, "a day's event", token or uuid.uuid4().hex, first)
         began = self.clock()
-        self.ledger.note(began, "propose", base=base, token=body.token)
+        self.ledger.record(began, "propose", base=base, token=body.token)
         told = self.say(body, seconds)
-        self.ledger.note(
+        self.ledger.record(
             self.clock(), "proposed", version=told.version, reason=told.reason, token=body.token, began=began
         )
         return told
@@ -250,7 +250,7 @@
         self.programs[keeper].kill()
         if wipe:
             shutil.rmtree(self.folder(keeper), ignore_errors=True)
-        self.ledger.note(self.clock(), "keeper_down", index=keeper, wiped=wipe)
+        self.ledger.record(self.clock(), "keeper_down", index=keeper, wiped=wipe)
 
     def save_disk(self, keeper: int) -> Path:
         """A copy of a keeper's disk as it is now, for another day."""
@@ -267,7 +267,7 @@
         """Start keepers that were ended."""
         gevent.joinall([gevent.spawn(self.programs[k].start) for k in keepers], raise_error=True)
         for k in keepers:
-            self.ledger.note(self.clock(), "keeper_up", index=k)
+            self.ledger.record(self.clock(), "keeper_up", index=k)
 
     def fill_disk(self, keeper: int, full: bool) -> None:
         """Let no file of a keeper grow any more, or let them again."""
@@ -275,7 +275,7 @@
         assert child is not None
         most = SMALL_DISK if full else resource.RLIM_INFINITY
         resource.prlimit(child.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
-        self.ledger.note(self.clock(), "disk", index=keeper, full=full)
+        self.ledger.record(self.clock(), "disk", index=keeper, full=full)
 
 
 def halt(program: Program) -> None:
--- a/tamarindfold/rehearsal/load.py
+++ b/tamarindfold/rehearsal/load.py
@@ -162,7 +162,7 @@
             else:
                 event = self._try(call, int(action.gateway), action.retry)
             action = core.handle(self.clock(), event)
-        self.ledger.note(
+        self.ledger.record(
             self.clock(), "ended", call=call.number, outcome=action.outcome.value, tries=action.tries
         )
 
@@ -200,10 +200,10 @@
                 connection = self.pool.acquire_idle(backend) if facts.effect != "unsafe" else None
                 connection = connection or self.pool.connect(backend, address, 0.5)
             except OSError:
-                self.ledger.note(self.clock(), "unreached", **{"try": name}, gateway=gateway)
+                self.ledger.record(self.clock(), "unreached", **{"try": name}, gateway=gateway)
                 return Unreached()
             plan = self.fleet.book.plan_at(call.customer, now) if self.fleet.book else call.plan
-            self.ledger.note(
+            self.ledger.record(
                 now,
                 "sent",
                 **{"try": name},
@@ -220,7 +220,7 @@
             )
             return self._exchange(call, connection, name, retry)
         except (OSError, BadResponse) as error:
-            self.ledger.note(self.clock(), "broken", **{"try": name}, how=type(error).__name__)
+            self.ledger.record(self.clock(), "broken", **{"try": name}, how=type(error).__name__)
             return Broken()
         finally:
             if connection is not None:
@@ -258,7 +258,7 @@
                 raise ConnectionResetError("closed before the answer was whole")
         outcome = (reader.get(names.OUTCOME) or b"").decode()
         wait = float(reader.get(names.RETRY_AFTER_MS) or 0)
-        self.ledger.note(
+        self.ledger.record(
             self.clock(),
             "answered",
             **{"try": name},
@@ -268,7 +268,7 @@
             server=self._server(reader.body) if outcome == "served" else "",
         )
         if self._second(sock):
-            self.ledger.note(self.clock(), "answered_again", **{"try": name})
+            self.ledger.record(self.clock(), "answered_again", **{"try": name})
         return Answered(reader.status, {n.decode(): v.decode("latin-1") for n, v in reader.headers})
 
     def _token(self, customer: str) -> str:
--- a/tamarindfold/rehearsal/marks.py
+++ b/tamarindfold/rehearsal/marks.py
@@ -66,7 +66,7 @@
                 for mark in range(max(1, newest - NEWEST + 1), newest + 1):
                     start = self.clock()
                     status, _ = send_request(sock, reader, "GET", f"/mark/{mark}", address)
-                    self.ledger.note(self.clock(), "mark", index=i, mark=mark, start=start, status=status)
+                    self.ledger.record(self.clock(), "mark", index=i, mark=mark, start=start, status=status)
                 gevent.sleep(self.every_s)
 
 
--- a/tamarindfold/rehearsal/run.py
+++ b/tamarindfold/rehearsal/run.py
@@ -48,7 +48,7 @@
         load.run()
         gevent.joinall(events, raise_error=True)
         exits = fleet.stop()
-        fleet.ledger.note(fleet.clock(), "end", exits=exits, not_sent=load.skipped)
+        fleet.ledger.record(fleet.clock(), "end", exits=exits, not_sent=load.skipped)
     finally:
         fleet.stop()
     return verdict(day, out)
--- a/tamarindfold/standins/__init__.py
+++ b/tamarindfold/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around the gateway, from their public specifications; for rehearsal and tests."""
+"""Test doubles of the systems around the gateway, for tests and rehearsals."""
--- a/tamarindfold/standins/fleet.py
+++ b/tamarindfold/standins/fleet.py
@@ -1,4 +1,4 @@
-"""The list of servers, pushed to each follower with a delay (see membership.feed for the lines)."""
+"""Publishes the server list; followers get changes after a delay. membership.feed has the format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FleetConfig(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The first list and how late changes are told."""
+    """The initial list, and the delay with which changes are published."""
 
     seed: int = 1
     host: str = "127.0.0.1"
@@ -27,9 +27,9 @@
 
 
 class FleetServer(Standin):
-    """Pushes the list; PUT /servers changes it."""
+    """Pushes the list to all followers; the admin call PUT /servers changes it."""
 
-    kinds = frozenset(("silent", "cut"))
+    fault_kinds = frozenset(("silent", "cut"))
 
     def __init__(self, config: FleetConfig) -> None:
         super().__init__(config.seed, open_ledger(config.ledger), config.faults, config.host, config.port)
@@ -37,46 +37,47 @@
         self.servers = {line.address: line for line in config.servers}
         self.followers: set[Queue] = set()
 
-    def began(self, fault: Fault) -> None:
-        """cut ends every follower's connection."""
+    def on_fault(self, fault: Fault) -> None:
+        """`cut` resets every follower's connection."""
         if fault.kind == "cut":
-            self.cut()
+            self.reset_connections()
 
     def serve(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        news: Queue = Queue()
-        news.put(FeedMessage("full", self.version, list(self.servers.values())))
-        self.followers.add(news)
-        end = gevent.spawn(self._until_gone, sock, news)
+        updates: Queue = Queue()
+        updates.put(FeedMessage("full", self.version, list(self.servers.values())))
+        self.followers.add(updates)
+        disconnect_watcher = gevent.spawn(self._wait_for_disconnect, sock, updates)
         try:
-            while (message := news.get()) is not None:
-                while (left := self.until("silent") - self.clock()) > 0:
+            while (message := updates.get()) is not None:
+                while (left := self.fault_end("silent") - self.clock()) > 0:
                     gevent.sleep(min(left, 3_600_000) / 1000)
-                # noted before it is written: a gateway cannot know it sooner than this
-                named = {line.address: [line.state, line.up_since_ms] for line in message.servers}
-                self.ledger.note(
+                # recorded before it is written, so that no gateway can have it before the recorded time
+                servers = {line.address: [line.state, line.up_since_ms] for line in message.servers}
+                self.ledger.record(
                     self.clock(),
                     "told",
                     peer=peer[0],
                     kind=message.kind,
                     version=message.version,
-                    servers=named,
+                    servers=servers,
                 )
                 sock.sendall(msgspec.json.encode(message) + b"\n")
         finally:
-            self.followers.discard(news)
-            end.kill()
+            self.followers.discard(updates)
+            disconnect_watcher.kill()
 
     @staticmethod
-    def _until_gone(sock: socket.socket, news: Queue) -> None:
+    def _wait_for_disconnect(sock: socket.socket, updates: Queue) -> None:
+        """Put None into the follower's queue once it has closed the connection."""
         try:
             while sock.recv(4096):
                 pass
         except OSError:
             pass
-        news.put(None)
+        updates.put(None)
 
     def change(self, lines: list[ServerLine]) -> None:
-        """Change the list now; followers hear of it after the delay."""
+        """Change the list immediately; followers are sent the change after the configured delay."""
         self.version += 1
         for line in lines:
             if line.state == "gone":
@@ -84,12 +85,12 @@
             else:
                 self.servers[line.address] = line
         message = FeedMessage("changes", self.version, lines)
-        for news in self.followers:
-            self.greenlets.append(gevent.spawn_later(self.config.delay_ms / 1000, news.put, message))
+        for updates in self.followers:
+            self.greenlets.append(gevent.spawn_later(self.config.delay_ms / 1000, updates.put, message))
 
-    def command(self, method: str, path: str, body: Any) -> tuple[int, Any]:
-        """Adds PUT /servers."""
+    def handle_admin(self, method: str, path: str, body: Any) -> tuple[int, Any]:
+        """Adds PUT /servers, which takes a list of changed servers."""
         if (method, path) == ("PUT", "/servers"):
             self.change(msgspec.convert(body, list[ServerLine]))
             return 200, {"version": self.version}
-        return super().command(method, path, body)
+        return super().handle_admin(method, path, body)
--- a/tamarindfold/standins/ledger.py
+++ b/tamarindfold/standins/ledger.py
@@ -1,4 +1,4 @@
-"""What a stand-in saw and did, with times: the judge's evidence."""
+"""Timestamped record of what a stand-in received and did, which a rehearsal's checks evaluate afterwards."""
 
 from __future__ import annotations
 
@@ -12,34 +12,37 @@
 
 
 class Ledger:
-    """Entries in memory, or a JSON line each in a file, written through: a killed process loses none."""
+    """Entries in memory or, if a path is given, in a file with one JSON object per line.
+
+    Each entry is written unbuffered, so that none is lost if the process is killed.
+    """
 
     def __init__(self, path: Path | None = None) -> None:
         self.entries: list[Entry] = []
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND) if path is not None else -1
 
-    def note(self, at_ms: float, what: str, **fields: Any) -> None:
-        """One entry: `t` in the clock's milliseconds, `what` its kind."""
+    def record(self, at_ms: float, what: str, **fields: Any) -> None:
+        """Add an entry; its key `t` is the clock's time in milliseconds, `what` its kind."""
         entry = {"t": round(at_ms, 3), "what": what} | fields
         if self._file >= 0:
             os.write(self._file, msgspec.json.encode(entry) + b"\n")
         else:
             self.entries.append(entry)
 
-    def of(self, what: str) -> list[Entry]:
-        """The entries of one kind, of a ledger in memory."""
+    def entries_of_kind(self, what: str) -> list[Entry]:
+        """The entries of one kind; only for a ledger in memory."""
         return [entry for entry in self.entries if entry["what"] == what]
 
 
-def read(path: Path) -> list[Entry]:
-    """The entries of a file; a last line cut off by a kill is left out."""
+def read_entries(path: Path) -> list[Entry]:
+    """Read the entries of a file; a last line that is incomplete because of a kill is skipped."""
     lines = path.read_bytes().split(b"\n") if path.exists() else []
-    out: list[Entry] = []
+    entries: list[Entry] = []
     for number, line in enumerate(lines):
         try:
             if line:
-                out.append(msgspec.json.decode(line))
+                entries.append(msgspec.json.decode(line))
         except msgspec.DecodeError:
             if number < len(lines) - 1:
                 raise
-    return out
+    return entries
--- a/tamarindfold/standins/platform.py
+++ b/tamarindfold/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins of what the platform puts round an ingress: backends, discovery and the counter, with faults."""
+"""Test doubles of the platform around a node: backends, service discovery and the counter, with faults."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tamarindfold.standins.base import Fault, Standin, open_ledger, reset, serve_http
 from tamarindfold.standins.counter import CounterServer
 
-SIGN_S = 2.0  # discovery's sign of life
-HUGE = 3_000_000_000
+DISCOVERY_HEARTBEAT_S = 2.0
+HUGE_CONTENT_LENGTH = 3_000_000_000
 
-# answers that can't be used: the request has run
-_SPOILT = {
+# Malformed responses by fault kind; the request has been processed when one is sent.
+_MALFORMED_RESPONSES = {
     "noise": b"\x00\xff what is this\r\n\r\n",
     "bad_head": b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nno colon here\r\n\r\nbody",
     "two_lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 9\r\n\r\nbody",
@@ -29,23 +29,23 @@
 
 
 class BackendConfig(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """One backend."""
+    """Configuration of one backend."""
 
     seed: int = 1
     host: str = "127.0.0.1"
     port: int = 0
     ledger: str = ""
     work_ms: float = 1.0
-    body: str = ""  # empty: the request's id
+    body: str = ""  # response body; empty: the request's id
     faults: list[Fault] = []
 
 
 class PlatformBackend(Standin):
-    """Answers each request with its id; the ledger tells what has come whole."""
+    """Answers each request with its id; the ledger records every complete request."""
 
-    kinds = frozenset(
+    fault_kinds = frozenset(
         (
-            *_SPOILT,
+            *_MALFORMED_RESPONSES,
             "endless",
             "huge",
             "extra",
@@ -68,12 +68,12 @@
         self.accepted += 1
         serve_http(sock, self.clock, self._answer)
 
-    def _answer(self, sock: socket.socket, request: Request, first: float) -> None:
+    def _answer(self, sock: socket.socket, request: Request, first_byte_at: float) -> None:
         call = request.get(wire_names.CALL_ID)
         if call is None:
             sock.sendall(write.response(404, ()))
             return
-        self.ledger.note(
+        self.ledger.record(
             self.clock(),
             "came",
             id=call.decode(),
@@ -84,45 +84,45 @@
         )
         if self.config.work_ms:
             gevent.sleep(self.config.work_ms / 1000)
-        for kind, bad in _SPOILT.items():
-            if self.fault(kind) is not None:
-                sock.sendall(bad)
-                gevent.sleep(3600)  # the connection stays open, and is of no use
-        self._faults(sock, request)
+        for kind, response in _MALFORMED_RESPONSES.items():
+            if self.active_fault(kind) is not None:
+                sock.sendall(response)
+                gevent.sleep(3600)  # the connection stays open, but nothing more is sent on it
+        self._respond_with_fault(sock, request)
         body = self.config.body.encode() or call
-        report = b"queue=what" if self.fault("bad_report") is not None else b"queue=2,inflight=7"
-        answer = write.response(200, ((wire_names.LOAD_REPORT, report),), body)
-        if self.fault("interim") is not None:
-            answer = b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + answer
-        sock.sendall(answer + (answer if self.fault("extra") is not None else b""))
-
-    def _faults(self, sock: socket.socket, request: Request) -> None:
-        """Faults that take the place of the answer."""
-        if self.fault("error") is not None:
+        load_report = b"queue=what" if self.active_fault("bad_report") is not None else b"queue=2,inflight=7"
+        response = write.response(200, ((wire_names.LOAD_REPORT, load_report),), body)
+        if self.active_fault("interim") is not None:
+            response = b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + response
+        sock.sendall(response + (response if self.active_fault("extra") is not None else b""))
+
+    def _respond_with_fault(self, sock: socket.socket, request: Request) -> None:
+        """If a fault replaces the response, simulate it and raise OSError, which ends the connection."""
+        if self.active_fault("error") is not None:
             sock.sendall(write.response(500, ()))
-        elif self.fault("turn_away") is not None:
+        elif self.active_fault("turn_away") is not None:
             sock.sendall(write.response(503, ((wire_names.REJECTED, b"1"),)))
-        elif self.fault("reset") is not None:
+        elif self.active_fault("reset") is not None:
             reset(sock)
-        elif self.fault("silent") is not None:
+        elif self.active_fault("silent") is not None:
             gevent.sleep(3600)
-        elif self.fault("close") is not None:
+        elif self.active_fault("close") is not None:
             sock.close()
-        elif self.fault("endless") is not None:
+        elif self.active_fault("endless") is not None:
             sock.sendall(b"HTTP/1.1 200 OK\r\n")
             while True:
                 sock.sendall(b"X-More: and more\r\n" * 64)
-        elif self.fault("huge") is not None:
-            sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % HUGE)
+        elif self.active_fault("huge") is not None:
+            sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % HUGE_CONTENT_LENGTH)
             while True:
                 sock.sendall(b"x" * 65536)
         else:
             return
-        raise OSError("the fault was the answer")
+        raise OSError("response replaced by an injected fault")
 
 
 class DiscoveryConfig(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Discovery with its first list."""
+    """Configuration of service discovery, with its initial list."""
 
     seed: int = 1
     host: str = "127.0.0.1"
@@ -133,86 +133,86 @@
 
 
 class PlatformDiscovery(Standin):
-    """Lists and watches; `change` tells all watches."""
+    """Service discovery: returns the list of instances, or streams changes to a watch."""
 
-    kinds = frozenset(("silent", "cut", "noise"))
+    fault_kinds = frozenset(("silent", "cut", "noise"))
 
     def __init__(self, config: DiscoveryConfig) -> None:
         super().__init__(config.seed, open_ledger(config.ledger), config.faults, config.host, config.port)
         self.generation = 41
-        self.instances = {one["instanceId"]: one for one in config.instances}
+        self.instances = {instance["instanceId"]: instance for instance in config.instances}
         self.watches: set[Queue] = set()
-        self.asked: list[str] = []
+        self.request_targets: list[str] = []
 
-    def began(self, fault: Fault) -> None:
-        """cut ends every watch."""
+    def on_fault(self, fault: Fault) -> None:
+        """`cut` resets the connection of every watch."""
         if fault.kind == "cut":
-            self.cut()
+            self.reset_connections()
 
-    def line(self, reset_: bool, instances: list[dict[str, Any]]) -> bytes:
-        """One line of a watch."""
+    def line(self, is_full_list: bool, instances: list[dict[str, Any]]) -> bytes:
+        """Encode one line of a watch."""
         return (
             msgspec.json.encode(
-                {"generation": self.generation, "reset": reset_, "instances": instances, "more": 1}
+                {"generation": self.generation, "reset": is_full_list, "instances": instances, "more": 1}
             )
             + b"\n"
         )
 
     def change(self, *instances: dict[str, Any]) -> None:
-        """Change the list and tell it."""
+        """Change the list and send the change to all watches."""
         self.generation += 1
-        for one in instances:
-            if one.get("lifecycle") == "left":
-                self.instances.pop(one["instanceId"], None)
+        for instance in instances:
+            if instance.get("lifecycle") == "left":
+                self.instances.pop(instance["instanceId"], None)
             else:
-                self.instances[one["instanceId"]] = one
-        for news in self.watches:
-            news.put(self.line(False, list(instances)))
+                self.instances[instance["instanceId"]] = instance
+        for updates in self.watches:
+            updates.put(self.line(False, list(instances)))
 
     def serve(self, sock: socket.socket, peer: tuple[str, int]) -> None:
         serve_http(sock, self.clock, self._answer)
 
-    def _answer(self, sock: socket.socket, request: Request, first: float) -> None:
+    def _answer(self, sock: socket.socket, request: Request, first_byte_at: float) -> None:
         target = request.target.decode()
-        self.asked.append(target)
-        while self.fault("silent") is not None:
+        self.request_targets.append(target)
+        while self.active_fault("silent") is not None:
             gevent.sleep(0.01)
-        whole = self.line(True, list(self.instances.values()))
+        full_list = self.line(True, list(self.instances.values()))
         if "watch=1" not in target:
-            sock.sendall(write.response(200, (), whole))
+            sock.sendall(write.response(200, (), full_list))
             return
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        news: Queue = Queue()
-        news.put(self.line(False, []) if target.endswith(f"from={self.generation}") else whole)
-        self.watches.add(news)
+        updates: Queue = Queue()
+        updates.put(self.line(False, []) if target.endswith(f"from={self.generation}") else full_list)
+        self.watches.add(updates)
         try:
             while True:
                 try:
-                    line = news.get(timeout=SIGN_S)
+                    line = updates.get(timeout=DISCOVERY_HEARTBEAT_S)
                 except gevent.queue.Empty:
                     line = b"\n"
-                while self.fault("silent") is not None:
+                while self.active_fault("silent") is not None:
                     gevent.sleep(0.01)
-                if self.fault("noise") is not None:
+                if self.active_fault("noise") is not None:
                     line = b'{"generation": what\n'
                 sock.sendall(b"%x\r\n%s\r\n" % (len(line), line))
         finally:
-            self.watches.discard(news)
+            self.watches.discard(updates)
 
 
 class PlatformCounter(CounterServer):
-    """ADDGET beside what the other counter knows."""
+    """The counter server with the platform's command ADDGET: add to a counter and set its expiry if new."""
 
-    kinds = CounterServer.kinds | {"busy", "spoilt"}
+    fault_kinds = CounterServer.fault_kinds | {"busy", "spoilt"}
 
     def _answer(self, command: Any, peer: str) -> bytes:
         if not (isinstance(command, list) and command and bytes(command[0]).upper() == b"ADDGET"):
             return super()._answer(command, peer)
-        if self.fault("busy") is not None:
+        if self.active_fault("busy") is not None:
             return b"-BUSY come later\r\n"
         if len(command) != 4:
             return b"-ERR ADDGET NAME AMOUNT LIFE\r\n"
         now, key = self.clock(), command[1]
-        told = self._add(now, key, command[2], peer)
-        self.ends.setdefault(key, now + int(command[3]))
-        return b"$4\r\nwhat\r\n" if self.fault("spoilt") is not None else told
+        reply = self._add(now, key, command[2], peer)
+        self.expires_at.setdefault(key, now + int(command[3]))
+        return b"$4\r\nwhat\r\n" if self.active_fault("spoilt") is not None else reply
--- a/tamarindfold/standins/tariff.py
+++ b/tamarindfold/standins/tariff.py
@@ -1,4 +1,7 @@
-"""A tariff server: cores, a queue, work drawn from a seed, cold starts that can be pushed over."""
+"""A priced backend server, simulated: cores, a queue, random work and slow starts.
+
+After a cold start its capacity rises slowly; if it gets too many requests in that time, it crashes.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +18,9 @@
 from tamarindfold.http1.requests import Request, RequestReader
 from tamarindfold.ingress import headers as names
 from tamarindfold.standins.base import (
-    BODY_BYTES,
-    HEADER_BYTES,
-    HEADERS,
+    MAX_BODY_BYTES,
+    MAX_HEADER_BYTES,
+    MAX_HEADERS,
     Fault,
     Standin,
     open_ledger,
@@ -25,11 +28,18 @@
     serve_http,
 )
 
-FALL_SLACK = 2.0  # requests' work beyond the budget that a cold server takes: chance, not pressure
+# A cold server tolerates the work of this many requests beyond its limit, since arrivals are random.
+OVERLOAD_SLACK_REQUESTS = 2.0
 
 
 class TariffConfig(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """One server; work in milliseconds of one core for one unit, by class."""
+    """Configuration of one server.
+
+    work_ms is the mean work of one unit, by class, in milliseconds of one core. cold_ms is the time after a
+    cold start until the server has its full speed; at first it has the fraction start_capacity of it. A cold
+    server crashes if within overload_ms it receives more than fall_multiple times the work that it can do in
+    that time. keep_keys_ms is how long it drops repeats of an idempotency key.
+    """
 
     name: str = "tariff"
     seed: int = 1
@@ -40,7 +50,7 @@
     queue: int = 64
     work_ms: dict[str, float] = {}
     default_work_ms: float = 20.0
-    sigma: float = 0.3  # of the log of the work
+    sigma: float = 0.3  # standard deviation of the logarithm of the work
     cold: bool = False
     cold_ms: float = 15_000.0
     start_capacity: float = 0.2
@@ -52,9 +62,9 @@
 
 
 class TariffServer(Standin):
-    """Runs requests of any path; the gateway's headers tell class, units and key."""
+    """Serves any path; takes class, units and idempotency key from the gateway's headers."""
 
-    kinds = frozenset(
+    fault_kinds = frozenset(
         (
             "stall",
             "slow",
@@ -76,54 +86,58 @@
         self.config = config
         self.cores = Semaphore(config.cores)
         self.waiting = self.running = 0
-        self.born = self.clock() if config.cold else -math.inf
-        self.recent: deque[tuple[float, float]] = deque()  # work that came, for the fall
-        self.fallen = False
-        self.keys: dict[str, float] = {}  # idempotency keys that ran, with their time
+        self.started_at = self.clock() if config.cold else -math.inf
+        self.recent_work: deque[tuple[float, float]] = deque()  # arrival time and work, while cold
+        self.crashed = False
+        self.executed_keys: dict[str, float] = {}  # idempotency keys with the start of their last run
         self.work_done_ms = 0.0
 
-    def birth(self) -> dict[str, Any]:
+    def startup_fields(self) -> dict[str, Any]:
         config = self.config
-        return super().birth() | {
+        return super().startup_fields() | {
             "cold": config.cold,
             "cores": config.cores,
             "cold_ms": config.cold_ms,
             "start_capacity": config.start_capacity,
             "overload_ms": config.overload_ms,
             "fall_multiple": config.fall_multiple,
-            "slack": FALL_SLACK * config.default_work_ms,
+            "slack": OVERLOAD_SLACK_REQUESTS * config.default_work_ms,
         }
 
     # ---- capacity
 
     def capacity(self, now: float) -> float:
-        """The part of its full speed that it has at this time since its start."""
-        age = now - self.born
+        """The fraction of its full speed that the server has now."""
+        age = now - self.started_at
         if age >= self.config.cold_ms:
             return 1.0
         return self.config.start_capacity + (1 - self.config.start_capacity) * age / self.config.cold_ms
 
-    def _pressed(self, now: float, work: float) -> bool:
-        """A cold server sent more than fall_multiple times what it can do for overload_ms stays down."""
+    def _is_overloaded(self, now: float, work: float) -> bool:
+        """Count newly arrived work; true if a cold server has received more than it can bear and crashes."""
         config = self.config
-        if now - self.born >= config.cold_ms:
+        if now - self.started_at >= config.cold_ms:
             return False
-        self.recent.append((now, work))
-        while self.recent[0][0] <= now - config.overload_ms:
-            self.recent.popleft()
-        able = config.fall_multiple * self.capacity(now) * config.cores * config.overload_ms
-        return sum(w for _, w in self.recent) > able + FALL_SLACK * config.default_work_ms
+        self.recent_work.append((now, work))
+        while self.recent_work[0][0] <= now - config.overload_ms:
+            self.recent_work.popleft()
+        limit = config.fall_multiple * self.capacity(now) * config.cores * config.overload_ms
+        return sum(w for _, w in self.recent_work) > limit + OVERLOAD_SLACK_REQUESTS * config.default_work_ms
 
     # ---- requests
 
     def serve(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        if self.fallen:
+        if self.crashed:
             return reset(sock)
-        if self.fault("early_answer") is not None:
-            return self._answer_early(sock, peer)
-        serve_http(sock, self.clock, lambda sock, request, first: self._one(sock, request, first, peer[0]))
+        if self.active_fault("early_answer") is not None:
+            return self._respond_early(sock, peer)
+        serve_http(
+            sock,
+            self.clock,
+            lambda sock, request, first_byte_at: self._handle(sock, request, first_byte_at, peer[0]),
+        )
 
-    def _one(self, sock: socket.socket, request: Request, first: float, peer: str) -> None:
+    def _handle(self, sock: socket.socket, request: Request, first_byte_at: float, peer: str) -> None:
         def header(name: bytes) -> str:
             return (request.get(name) or b"").decode()
 
@@ -131,9 +145,9 @@
         mean = self.config.work_ms.get(cls, self.config.default_work_ms)
         work = mean * units * self.random.lognormvariate(-(self.config.sigma**2) / 2, self.config.sigma)
         key = header(names.IDEMPOTENCY_KEY)
-        mark = {"try": header(names.REQUEST), "attempt": int(header(names.ATTEMPT) or 0)}
-        self.ledger.note(
-            first,
+        attempt_id = {"try": header(names.REQUEST), "attempt": int(header(names.ATTEMPT) or 0)}
+        self.ledger.record(
+            first_byte_at,
             "received",
             peer=peer,
             cls=cls,
@@ -143,62 +157,62 @@
             customer=header(names.CUSTOMER),
             plan=header(names.PLAN),
             path=request.target.decode(),
-            capacity=round(self.capacity(first), 4),
-            **mark,
+            capacity=round(self.capacity(first_byte_at), 4),
+            **attempt_id,
         )
-        if self._pressed(first, work):
-            self.fallen = True
-            self.ledger.note(self.clock(), "fell")
-            gevent.spawn(self.cut)
-        if self.fallen:
+        if self._is_overloaded(first_byte_at, work):
+            self.crashed = True
+            self.ledger.record(self.clock(), "fell")
+            gevent.spawn(self.reset_connections)
+        if self.crashed:
             return reset(sock)
-        if self.fault("reset_before_run", cls) is not None:
-            self.ledger.note(self.clock(), "reset", **mark)
+        if self.active_fault("reset_before_run", cls) is not None:
+            self.ledger.record(self.clock(), "reset", **attempt_id)
             return reset(sock)
-        if self.waiting >= self.config.queue or self.fault("full", cls) is not None:
-            self.ledger.note(self.clock(), "full", **mark)
+        if self.waiting >= self.config.queue or self.active_fault("full", cls) is not None:
+            self.ledger.record(self.clock(), "full", **attempt_id)
             return self._send(sock, request, 503, b"full", [(names.FULL, b"1")])
-        if self.fault("hang", cls) is not None:
+        if self.active_fault("hang", cls) is not None:
             gevent.sleep(3600)
-        failed = self._run(cls, work, key, mark)
-        if self.fault("reset_after_run", cls) is not None:
+        failure_status = self._run(cls, work, key, attempt_id)
+        if self.active_fault("reset_after_run", cls) is not None:
             return reset(sock)
-        if self.fault("drop_answer", cls) is not None:
-            self.ledger.note(self.clock(), "dropped", **mark)
+        if self.active_fault("drop_answer", cls) is not None:
+            self.ledger.record(self.clock(), "dropped", **attempt_id)
             gevent.sleep(3600)
-        if self.fault("close_mid_chunk", cls) is not None:
+        if self.active_fault("close_mid_chunk", cls) is not None:
             sock.sendall(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nff\r\nhalf")
             sock.close()
             return
         body = b'{"server":"%s","price":%d}' % (self.config.name.encode(), self.random.randrange(1, 100))
-        self._send(sock, request, failed or 200, body, [])
-        self.ledger.note(self.clock(), "answered", status=failed or 200, **mark)
-        if self.fault("answer_twice", cls) is not None:
+        self._send(sock, request, failure_status or 200, body, [])
+        self.ledger.record(self.clock(), "answered", status=failure_status or 200, **attempt_id)
+        if self.active_fault("answer_twice", cls) is not None:
             self._send(sock, request, 200, b"again", [])
-        if self.fault("close_idle", cls) is not None:
+        if self.active_fault("close_idle", cls) is not None:
             sock.close()
 
-    def _run(self, cls: str, work: float, key: str, mark: dict[str, Any]) -> int:
-        """Wait for a core, work, and note what ran; the status where it fails, else 0."""
+    def _run(self, cls: str, work: float, key: str, attempt_id: dict[str, Any]) -> int:
+        """Wait for a core, do the work and record it; the error status of an injected failure, else 0."""
         self.waiting += 1
         with self.cores:
             self.waiting -= 1
             self.running += 1
             try:
                 now = self.clock()
-                if key and now - self.keys.get(key, -math.inf) < self.config.keep_keys_ms:
-                    self.ledger.note(now, "repeat_dropped", **mark)
+                if key and now - self.executed_keys.get(key, -math.inf) < self.config.keep_keys_ms:
+                    self.ledger.record(now, "repeat_dropped", **attempt_id)
                     return 0
-                slow = self.fault("slow", cls)
+                slow = self.active_fault("slow", cls)
                 gevent.sleep(work * (slow.factor if slow else 1.0) / self.capacity(now) / 1000)
-                while (left := self.until("stall") - self.clock()) > 0:
+                while (left := self.fault_end("stall") - self.clock()) > 0:
                     gevent.sleep(min(left, 60_000) / 1000)
-                failing = self.fault("fail", cls)
+                failure = self.active_fault("fail", cls)
                 if key:
-                    self.keys[key] = now
+                    self.executed_keys[key] = now
                 self.work_done_ms += work
-                self.ledger.note(self.clock(), "ran", failed=failing is not None, **mark)
-                return failing.status if failing else 0
+                self.ledger.record(self.clock(), "ran", failed=failure is not None, **attempt_id)
+                return failure.status if failure else 0
             finally:
                 self.running -= 1
 
@@ -208,35 +222,37 @@
         request: Request,
         status: int,
         body: bytes,
-        extra: list[tuple[bytes, bytes]],
+        extra_headers: list[tuple[bytes, bytes]],
     ) -> None:
-        headers = [(b"content-type", b"application/json"), *extra]
+        headers = [(b"content-type", b"application/json"), *extra_headers]
         if status == 200 and (units := request.get(names.UNITS)):
             headers.append((names.UNITS, units))
         if self.config.report_load:
-            util = self.running / self.config.cores
-            headers.append((names.LOAD, b"util=%.2f, inflight=%d" % (util, self.running + self.waiting)))
+            utilization = self.running / self.config.cores
+            headers.append(
+                (names.LOAD, b"util=%.2f, inflight=%d" % (utilization, self.running + self.waiting))
+            )
         sock.sendall(write.response(status, headers, body, request.keep_alive, request.method == "HEAD"))
 
-    def _answer_early(self, sock: socket.socket, peer: tuple[str, int]) -> None:
-        """Answer when the header is there, whatever is still to come of the body, and close."""
-        reader = RequestReader(HEADER_BYTES, HEADERS, BODY_BYTES)
+    def _respond_early(self, sock: socket.socket, peer: tuple[str, int]) -> None:
+        """Send a response as soon as the header has arrived, without waiting for the body, and close."""
+        reader = RequestReader(MAX_HEADER_BYTES, MAX_HEADERS, MAX_BODY_BYTES)
         while not reader.in_body and not reader.ready:
             data = sock.recv(65536)
             if not data:
                 return
             reader.feed(data)
-        self.ledger.note(self.clock(), "early", peer=peer[0])
+        self.ledger.record(self.clock(), "early", peer=peer[0])
         sock.sendall(write.response(413, [], b"too much", False))
 
-    def command(self, method: str, path: str, body: Any) -> tuple[int, Any]:
+    def handle_admin(self, method: str, path: str, body: Any) -> tuple[int, Any]:
         """Adds GET /load."""
         if (method, path) == ("GET", "/load"):
             return 200, {
                 "running": self.running,
                 "waiting": self.waiting,
-                "fallen": self.fallen,
+                "fallen": self.crashed,
                 "capacity": self.capacity(self.clock()),
                 "work_done_ms": self.work_done_ms,
             }
-        return super().command(method, path, body)
+        return super().handle_admin(method, path, body)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -100,7 +100,7 @@
 
     def entries(self, what: str) -> list[dict[str, Any]]:
         """The servers' ledger entries of one kind (received, ran), in order of time."""
-        return sorted((e for s in self.servers for e in s.ledger.of(what)), key=lambda e: e["t"])
+        return sorted((e for s in self.servers for e in s.ledger.entries_of_kind(what)), key=lambda e: e["t"])
 
     def stop(self) -> None:
         for sock in self.opened:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -388,7 +388,7 @@
     testbed = start_testbed()
     monkeypatch.setattr(testbed.discovery, "line", lambda *a: b'{"generation": 43,\n')
     before = testbed.node.watch.counts["watches"]
-    testbed.discovery.cut()
+    testbed.discovery.reset_connections()
     wait_for(lambda: testbed.node.watch.counts["watches"] >= before + 3)
     assert len(testbed.node.core.fleet) == 2  # the known backends are kept
 
@@ -406,7 +406,7 @@
     monkeypatch.setattr(discovery_driver, "FIRST_DATA_TIMEOUT_S", 0.3)
     testbed = start_testbed()
     monkeypatch.setattr(testbed.discovery, "line", lambda *a: b"\n")
-    testbed.discovery.cut()
+    testbed.discovery.reset_connections()
     wait_for(lambda: testbed.node.watch.counts["watches"] == 2)
     gevent.sleep(0.6)
     assert testbed.node.watch.counts["watches"] == 2
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The fuzzers with a small budget, and that they find planted faults."""
+"""Runs the fuzzers for a short time, and checks that they detect seeded faults."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 from tamarindfold.http1.requests import Request, RequestReader
 
 
-def test_nothing_is_found_in_some_rounds() -> None:
-    done, found = headers.run(7, 300, None)
-    assert (done, found) == (300, [])
+def test_fuzzers_report_no_failure() -> None:
+    done, failures = headers.run(7, 300, None)
+    assert (done, failures) == (300, [])
 
 
-def deaf(random_address: str) -> int:
-    return 0xFFFF << 32 | 1 if random_address == "1.1" else headers_address(random_address)
+original_address_parser = headers.parse_address
 
 
-headers_address = headers.parse_address
+def address_parser_with_fault(text: str) -> int:
+    """Accepts 1.1, which is not an address."""
+    return 0xFFFF << 32 | 1 if text == "1.1" else original_address_parser(text)
 
 
-class Joining(RequestReader):
-    """Reads what comes in parts otherwise than what comes whole."""
+class InconsistentReader(RequestReader):
+    """Drops NUL bytes from short parts only, so that the result depends on how the input is split."""
 
     def feed(self, data: bytes) -> None:
         super().feed(data.replace(b"\x00", b"") if len(data) < 20 else data)
 
 
 @pytest.mark.parametrize(
-    ("target", "name", "planted"),
+    ("target", "name", "replacement"),
     [
-        ("addresses", "parse_address", deaf),
-        ("messages", "RequestReader", Joining),
-        ("originals", "parse_original_request", lambda asked, names: Request("GET", b"/else")),
+        ("addresses", "parse_address", address_parser_with_fault),
+        ("messages", "RequestReader", InconsistentReader),
+        ("originals", "parse_original_request", lambda request, names: Request("GET", b"/else")),
         (
             "tokens",
             "bearer",
@@ -47,20 +48,20 @@
             ),
         ),
         ("reports", "parse_reports", lambda body: 1 / 0),
-        ("chains", "NETWORKS", []),
+        ("chains", "TRUSTED_NETWORKS", []),
     ],
 )
-def test_a_planted_fault_is_found(monkeypatch, target, name, planted) -> None:
-    monkeypatch.setattr(headers, name, planted)
-    _, found = headers.run(7, 800, None)
-    assert [line.partition(",")[0] for line in found] == [target]
+def test_a_seeded_fault_is_detected(monkeypatch, target, name, replacement) -> None:
+    monkeypatch.setattr(headers, name, replacement)
+    _, failures = headers.run(7, 800, None)
+    assert [line.partition(",")[0] for line in failures] == [target]
 
 
-def test_the_command_says_what_it_did() -> None:
-    done = subprocess.run(
+def test_command_prints_a_summary() -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "fuzz.headers", "--seconds", "0.2"],
         capture_output=True,
         text=True,
         cwd=Path(__file__).parent.parent,
     )
-    assert done.returncode == 0 and "0 finds" in done.stdout
+    assert process.returncode == 0 and "0 failures" in process.stdout
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -298,7 +298,7 @@
     assert r.ingress.core.counts["moot"] == 1
     assert r.ingress.core.counts["attempts"] == 2
     drained_server = next(s for s in r.servers if int(s.address.rpartition(":")[2]) == drained[0] & 0xFFFF)
-    assert not drained_server.ledger.of("received")
+    assert not drained_server.ledger.entries_of_kind("received")
 
 
 def test_another_choice_is_made_if_a_server_restarts_while_connecting(rig) -> None:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -237,11 +237,11 @@
             "sigma": 0.0,
         },
     )
-    r.fleet.change([ServerLine(r.servers[0].address, "ready", up_since_ms=r.servers[0].born)])
+    r.fleet.change([ServerLine(r.servers[0].address, "ready", up_since_ms=r.servers[0].started_at)])
     wait_for(lambda: any(e.up_since_ms for e in r.ingress.core.fleet.values()))
     found = verdicts(r, tmp_path, calls=60)
     assert "cold servers not pushed over" in broken(found)
-    assert r.servers[0].fallen
+    assert r.servers[0].crashed
 
 
 def test_a_ceiling_passed(rig, tmp_path) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -92,7 +92,7 @@
     for _ in range(4):
         assert testbed.ask(sock, cls="switch", body=b"x").status == 200
     assert testbed.node.pool.counts["opened"] == 1
-    testbed.backends[0].cut()  # the backend closes its connections
+    testbed.backends[0].reset_connections()  # the backend closes its connections
     assert testbed.ask(sock, cls="switch", body=b"x").status == 200
     assert testbed.ask(sock, cls="switch", body=b"x").status == 200
     assert testbed.node.pool.counts["opened"] == 3 and testbed.node.pool.counts["found_closed"] == 1
@@ -285,11 +285,11 @@
         assert testbed.ask(sock).status == 200
     testbed.discovery.change(testbed.instance(0, lifecycle="leaving"))
     wait_for(lambda: testbed.node.directory.generation == 42)
-    before = len(testbed.backends[0].ledger.of("came"))
+    before = len(testbed.backends[0].ledger.entries_of_kind("came"))
     assert [testbed.ask(sock).status for _ in range(8)] == [200] * 8
     testbed.discovery.change(testbed.instance(0, lifecycle="left"))
     wait_for(lambda: testbed.node.directory.generation == 43)
-    assert len(testbed.backends[0].ledger.of("came")) == before
+    assert len(testbed.backends[0].ledger.entries_of_kind("came")) == before
     assert len(testbed.node.core.fleet) == len(testbed.node.directory.entries) == 1
 
 
@@ -307,14 +307,14 @@
     testbed.discovery.change(testbed.instance(0, lifecycle="leaving"))
     testbed.discovery.inject(Fault(kind="silent"))
     starting = gevent.spawn(testbed.run)
-    wait_for(lambda: testbed.discovery.asked and testbed.node and testbed.node.core.fleet)
+    wait_for(lambda: testbed.discovery.request_targets and testbed.node and testbed.node.core.fleet)
     with pytest.raises(OSError):  # it does not listen yet, since its list may be outdated
         socket.create_connection(testbed.node.config.listen, timeout=1)
     testbed.discovery.clear()
     starting.get(timeout=20)
     sock = testbed.connect()
     assert [testbed.ask(sock).status for _ in range(8)] == [200] * 8
-    assert not testbed.backends[0].ledger.of("came")
+    assert not testbed.backends[0].ledger.entries_of_kind("came")
 
 
 @pytest.mark.parametrize("discovery", ["silent", "away"])
@@ -341,9 +341,9 @@
     monkeypatch.setattr(discovery_driver, "FIRST_DATA_TIMEOUT_S", 0.05)
     testbed = start_testbed()
     wait_for(lambda: testbed.node.watch.counts["watches"] >= 3)
-    assert testbed.discovery.asked[-1].endswith("from=41") and len(testbed.node.core.fleet) == 2
+    assert testbed.discovery.request_targets[-1].endswith("from=41") and len(testbed.node.core.fleet) == 2
     testbed.discovery.inject(Fault(kind="noise"))
-    wait_for(lambda: any(asked.endswith("from=0") for asked in testbed.discovery.asked))
+    wait_for(lambda: any(asked.endswith("from=0") for asked in testbed.discovery.request_targets))
     testbed.discovery.clear()
     testbed.discovery.change(testbed.instance(0, lifecycle="leaving"))
     wait_for(lambda: testbed.node.directory.generation == 42)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -180,7 +180,7 @@
         (["standin", "proxy", "--config", "README.md"], "README"),
         (["fly"], "fly"),
         (["rehearse"], "--all"),
-        (["rehearse", "--all", "docs"], "no days"),
+        (["rehearse", "--all", "docs"], "no scenarios"),
         (["compare", "docs", "docs"], "report.json"),
         (["rehearse", "--all", "examples/days", "--within", "5"], "over 5"),
         (["fleet", "up", "no.yaml"], "no.yaml"),
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -222,7 +222,7 @@
     p = proxied("traefik", "report_elsewhere", instance={"index": 0, "gateways": 2}, config={"gateways": []})
     other.r.ingress.forward_front.permits.instance = 1
     p.proxy.gateways = [p.gateway, other.gateway]
-    p.proxy.turn = 1  # so that the first is asked, and the second told
+    p.proxy.gateway_index = 1  # so that the first is asked, and the second told
     assert p.ask().status == 200
     wait_for(lambda: other.permits["elsewhere"] == 1)
     assert p.permits["settled"] == 0 and len(p.r.ingress.core.open_exchanges) == 1
@@ -419,7 +419,7 @@
     assert told == ["CANCELLED"] and not p.r.ingress.core.open_exchanges
     assert (
         "permitted" in {e["what"] for e in p.proxy.ledger.entries}
-        and p.proxy.ledger.of("permitted")[0]["server"] == ""
+        and p.proxy.ledger.entries_of_kind("permitted")[0]["server"] == ""
     )
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -459,7 +459,7 @@
     assert job.get().status == 200
     kinds = [type(e) for e in events]
     assert kinds.index(GatewayStalled) < kinds.index(FleetUpdate) < kinds.index(RequestArrived)
-    assert not drained.ledger.of("received") and core.counts["stalls"] == 1
+    assert not drained.ledger.entries_of_kind("received") and core.counts["stalls"] == 1
 
 
 def test_a_request_whose_deadline_passed_in_a_stall_is_answered_but_not_sent(rig) -> None:
--- a/tests/testbed.py
+++ b/tests/testbed.py
@@ -96,7 +96,7 @@
 
     def received(self) -> list[dict[str, Any]]:
         """The requests that the backends have received."""
-        return [entry for backend in self.backends for entry in backend.ledger.of("came")]
+        return [entry for backend in self.backends for entry in backend.ledger.entries_of_kind("came")]
 
     def stop(self) -> None:
         for sock in self.opened:
