--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -30,7 +30,7 @@
 from tamarindfold.modelcheck import leases
 from tamarindfold.modelcheck.agreement import check
 from tamarindfold.modelcheck.simulated import SimulatedFleet
-from tamarindfold.rehearsal.agreed import AgreedFleet
+from tamarindfold.rehearsal.managed_fleet import ManagedFleet
 from tamarindfold.rehearsal.relay import LinkFault
 
 WINDOW_MS = 2_000.0
@@ -46,10 +46,10 @@
 
 
 @contextmanager
-def running_fleet(instances: int, **options: Any) -> Iterator[AgreedFleet]:
+def running_fleet(instances: int, **options: Any) -> Iterator[ManagedFleet]:
     """A fleet of processes, started and serving; stopped at the end."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = AgreedFleet(Path(folder), instances=instances, terms=TERMS, **options)
+        fleet = ManagedFleet(Path(folder), instances=instances, terms=TERMS, **options)
         try:
             fleet.start()
             yield fleet
@@ -67,7 +67,7 @@
     with running_fleet(3) as fleet:
         for rate in range(changes):
             changed = fleet.document | {"plans": [{"name": "corner", "rate": 5 + rate % 3, "burst": 20}]}
-            base = fleet.keepers.look()
+            base = fleet.keepers.read_state()
             began = time.perf_counter()
             fleet.keepers.propose(changed, base.newest if base else 0)
             durations_ms.append((time.perf_counter() - began) * 1000)
@@ -82,7 +82,7 @@
     with running_fleet(instances) as fleet:
         for rate in range(changes):
             version = fleet.propose(plans=[{"name": "corner", "rate": 5 + rate % 3, "burst": 20}])
-            fleet.keepers.until(lambda v=version: fleet.all_show(v))  # type: ignore[misc]
+            fleet.keepers.wait_until(lambda v=version: fleet.all_act_on(v))  # type: ignore[misc]
         history = fleet.history()
         first_seen: dict[int, dict[int, float]] = {}  # by version and instance
         for entry in history:
@@ -94,7 +94,7 @@
             if e["what"] == "proposed" and e["version"] > 1
         ]
         return [
-            spread for version, spread in fleet.contradictions().spread_ms.items() if version > 1
+            spread for version, spread in fleet.find_stale_versions().rollout_ms.items() if version > 1
         ], from_proposal_ms
 
 
@@ -104,35 +104,37 @@
     with running_fleet(1) as fleet:
         for _ in range(times):
             leader = fleet.keepers.leader()
-            base = fleet.keepers.look()
+            base = fleet.keepers.read_state()
             fleet.keepers.kill(leader)
             began = time.perf_counter()
             fleet.keepers.propose(fleet.document, base.newest if base else 0)
             durations_ms.append((time.perf_counter() - began) * 1000)
             fleet.keepers.restart([leader])
-            fleet.keepers.until(lambda: len(fleet.keepers.voting()) == 3 and fleet.keepers.leader() >= 0)
+            fleet.keepers.wait_until(
+                lambda: len(fleet.keepers.voting_keepers()) == 3 and fleet.keepers.leader() >= 0
+            )
     return durations_ms
 
 
-def _cut_links(way: str) -> Callable[[AgreedFleet], None]:
-    return lambda fleet: fleet.keepers.cut_off("instance 2", way)
+def _cut_links(way: str) -> Callable[[ManagedFleet], None]:
+    return lambda fleet: fleet.keepers.isolate("instance 2", way)
 
 
-def _suspend(fleet: AgreedFleet) -> None:
-    fleet.halt(2)
-    gevent.spawn_later(4.5, fleet.wake, 2)
+def _suspend(fleet: ManagedFleet) -> None:
+    fleet.suspend(2)
+    gevent.spawn_later(4.5, fleet.resume, 2)
 
 
-def _delay_links(fleet: AgreedFleet) -> None:
-    fleet.keepers.spoil("instance 2", "*", link_fault(kind="delay", delay_ms=200, jitter_ms=300))
+def _delay_links(fleet: ManagedFleet) -> None:
+    fleet.keepers.inject("instance 2", "*", link_fault(kind="delay", delay_ms=200, jitter_ms=300))
 
 
-def _stall_links(fleet: AgreedFleet) -> None:
-    fleet.keepers.spoil("instance 2", "*", link_fault(kind="stall", for_ms=4_000))
+def _stall_links(fleet: ManagedFleet) -> None:
+    fleet.keepers.inject("instance 2", "*", link_fault(kind="stall", for_ms=4_000))
 
 
 # each affects instance 2
-FAULTS: dict[str, Callable[[AgreedFleet], None]] = {
+FAULTS: dict[str, Callable[[ManagedFleet], None]] = {
     "cut": _cut_links("both"),
     "cut there": _cut_links("there"),
     "cut back": _cut_links("back"),
@@ -153,9 +155,9 @@
     with running_fleet(3, **options) as fleet:
         FAULTS[name](fleet)
         version = fleet.propose(plans=[{"name": "corner", "rate": 9, "burst": 20}])
-        fleet.keepers.until(lambda: fleet.all_show(version, (0, 1)))
+        fleet.keepers.wait_until(lambda: fleet.all_act_on(version, (0, 1)))
         gevent.sleep(2 * WINDOW_MS / 1000)
-        return fleet.contradictions().max_ms
+        return fleet.find_stale_versions().max_overlap_ms
 
 
 def simulate(instances: int, changes: int) -> dict[str, float]:
--- a/tamarindfold/cli/rehearse.py
+++ b/tamarindfold/cli/rehearse.py
@@ -42,18 +42,18 @@
 
     Exit code 0: all rules were kept; 1: at least one was broken; 2: invalid input.
     """
-    from tamarindfold.rehearsal.day import Day, check
+    from tamarindfold.rehearsal.scenario import Scenario, check
 
     if (file is None) == (folder is None):
         raise click.UsageError("give either the file of a scenario or --all and a folder")
     if file is not None:
-        scenario = load(file, Day, check)
+        scenario = load(file, Scenario, check)
         sys.exit(0 if _run(scenario, out or Path("out") / scenario.name, quiet)["passed"] else 1)
     assert folder is not None
     files = sorted(folder.glob("*.yaml"))
     if not files:
         raise ConfigError(f"{folder}: no scenarios (*.yaml)")
-    scenarios = [load(path, Day, check) for path in files]
+    scenarios = [load(path, Scenario, check) for path in files]
     estimated_s = sum(scenario.duration_ms / 1000 + OVERHEAD_S for scenario in scenarios)
     if estimated_s > within:
         raise ConfigError(
@@ -70,14 +70,14 @@
 
 
 def _run(scenario: Any, folder: Path, quiet: bool) -> dict[str, Any]:
-    from tamarindfold.rehearsal.processes import StartFailed
-    from tamarindfold.rehearsal.run import play
+    from tamarindfold.rehearsal.processes import ProcessStartError
+    from tamarindfold.rehearsal.run import run_scenario
 
     try:
-        result = play(scenario, folder, (lambda _: None) if quiet else click.echo)
+        result = run_scenario(scenario, folder, (lambda _: None) if quiet else click.echo)
     except OSError as error:
         raise ConfigError(f"{folder}: {error}") from error
-    except StartFailed as error:
+    except ProcessStartError as error:
         raise ConfigError(str(error)) from error
     _print_report(result, folder)
     return result
@@ -88,11 +88,11 @@
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 def judge(file: Path, folder: Path) -> None:
     """Judge an earlier run again, from the ledgers in its folder. FILE is the scenario of that run."""
-    from tamarindfold.rehearsal.day import Day, check
-    from tamarindfold.rehearsal.run import verdict
+    from tamarindfold.rehearsal.scenario import Scenario, check
+    from tamarindfold.rehearsal.run import judge_run
 
     try:
-        result = verdict(load(file, Day, check), folder)
+        result = judge_run(load(file, Scenario, check), folder)
     except ConfigError:
         raise
     except (OSError, ValueError) as error:
@@ -108,7 +108,7 @@
     """Compare two runs: name, both values and their ratio of each figure that differs."""
     import msgspec
 
-    from tamarindfold.rehearsal import page
+    from tamarindfold.rehearsal import html_report
 
     reports = []
     for folder in (one, other):
@@ -116,13 +116,13 @@
             reports.append(msgspec.json.decode((folder / "report.json").read_bytes(), type=dict[str, Any]))
         except (OSError, msgspec.MsgspecError) as error:
             raise ConfigError(f"{folder}: report.json: {error}") from error
-    for line in page.compare(*reports):
+    for line in html_report.compare_reports(*reports):
         click.echo(line)
 
 
 def _print_report(result: dict[str, Any], folder: Path) -> None:
     from tamarindfold.rehearsal import report
 
-    for line in report.lines(result):
+    for line in report.format_lines(result):
         click.echo(line)
     click.echo(f"  report: {folder / 'report.html'}")
--- a/tamarindfold/rehearsal/__init__.py
+++ b/tamarindfold/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Whole fleets as processes on one machine: a day's load and faults, and a verdict from what was seen."""
+"""Runs a whole fleet as processes on one machine under load and faults, and judges the recorded run."""
--- a/tamarindfold/rehearsal/faulty.py
+++ b/tamarindfold/rehearsal/faulty.py
@@ -1,6 +1,6 @@
-"""The command with a fault planted in it: `python -m tamarindfold.rehearsal.faulty FAULT WORDS...`
+"""The command with a planted fault: `python -m tamarindfold.rehearsal.faulty FAULT ARGUMENTS...`
 
-FAULT is a name of modelcheck.planted.LEASE_FAULTS. What judges a run must find it.
+FAULT is a name in modelcheck.planted.LEASE_FAULTS. A run with it shows that the judge detects the fault.
 """
 
 from __future__ import annotations
--- a/tamarindfold/rehearsal/fleet.py
+++ b/tamarindfold/rehearsal/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a day: stand-ins, gateways, and what happens to them."""
+"""The processes of a run (stand-ins, gateways, keepers) and the events that are applied to them."""
 
 from __future__ import annotations
 
@@ -18,52 +18,53 @@
 from tamarindfold.config.model import GatewayConfig
 from tamarindfold.identity.files import pepper_path, public_path
 from tamarindfold.ingress.clock import SteadyClock
-from tamarindfold.rehearsal.book import Book
-from tamarindfold.rehearsal.day import Day, Event, customer_names, process
-from tamarindfold.rehearsal.keepers import KeeperFleet, halt
-from tamarindfold.rehearsal.marks import Prober
+from tamarindfold.rehearsal.keepers import KeeperGroup, suspend
 from tamarindfold.rehearsal.processes import Program, StandinProgram
+from tamarindfold.rehearsal.registry_operator import RegistryOperator
+from tamarindfold.rehearsal.scenario import Scenario, ScenarioEvent, customers_with_plans, parse_target
+from tamarindfold.rehearsal.version_probe import VersionProber
 from tamarindfold.standins.ledger import Ledger
 
 
 def source_address(index: int) -> str:
-    """The loopback address that a gateway speaks from: by it the stand-ins tell gateways apart."""
+    """The loopback address that a gateway connects from; the stand-ins distinguish gateways by it."""
     return f"127.0.1.{index + 1}"
 
 
 def proxy_address(index: int) -> str:
-    """The loopback address that a proxy speaks from."""
+    """The loopback address that a proxy connects from."""
     return f"127.0.2.{index + 1}"
 
 
-def token_name(customer: str, turn: int = 0) -> str:
-    """A customer's token; each turn has another."""
-    return f"tok-{customer}-{turn}"
+def token_name(customer: str, period: int = 0) -> str:
+    """A customer's token in a period; a period lasts as long as a token is valid."""
+    return f"tok-{customer}-{period}"
 
 
 class RunningFleet:
-    """Starts a day's processes and carries out its events; `ledger` holds what was done to them."""
+    """Starts the processes of a scenario and applies its events, which are noted in the ledger."""
 
-    def __init__(self, day: Day, out: Path) -> None:
-        self.day, self.out = day, out
+    def __init__(self, scenario: Scenario, out: Path) -> None:
+        self.scenario, self.out = scenario, out
         self.clock = SteadyClock().now
         for folder in ("config", "logs", "ledgers", "state"):
             (out / folder).mkdir(parents=True, exist_ok=True)
         self.ledger = Ledger(out / "ledgers" / "run.jsonl")
-        self.servers = [self._server(i) for i in range(day.servers.count)]
+        self.servers = [self._server_program(i) for i in range(scenario.servers.count)]
         self.tokens = StandinProgram(
             "tokens",
             "tokens",
-            day.tokens.like | {"seed": day.seed, "ledger": self._ledger("tokens"), "tokens": self._tokens()},
+            scenario.tokens.like
+            | {"seed": scenario.seed, "ledger": self._ledger_path("tokens"), "tokens": self._token_claims()},
             out,
         )
-        parts = range(day.counter.parts if day.counter else 0)
-        like = day.counter.like if day.counter else {}
+        parts = range(scenario.counter.parts if scenario.counter else 0)
+        like = scenario.counter.like if scenario.counter else {}
         self.counters = [
             StandinProgram(
                 "counter",
                 f"counter-{i}",
-                like | {"seed": day.seed + i, "ledger": self._ledger(f"counter-{i}")},
+                like | {"seed": scenario.seed + i, "ledger": self._ledger_path(f"counter-{i}")},
                 out,
             )
             for i in parts
@@ -71,7 +72,11 @@
         self.fleet = StandinProgram(
             "fleet",
             "fleet",
-            {"seed": day.seed, "delay_ms": day.fleet.delay_ms, "ledger": self._ledger("fleet")},
+            {
+                "seed": scenario.seed,
+                "delay_ms": scenario.fleet.delay_ms,
+                "ledger": self._ledger_path("fleet"),
+            },
             out,
         )
         self.proxies = [
@@ -82,94 +87,99 @@
                 | {
                     "name": f"proxy-{i}",
                     "kind": proxy.kind,
-                    "seed": day.seed + i,
+                    "seed": scenario.seed + i,
                     "source": proxy_address(i),
-                    "ledger": self._ledger(f"proxy-{i}"),
+                    "ledger": self._ledger_path(f"proxy-{i}"),
                 },
                 out,
             )
-            for i, proxy in enumerate(day.proxies)
+            for i, proxy in enumerate(scenario.proxies)
         ]
-        self.forwards = [""] * day.instances  # where each instance is asked by the proxies
-        self.book = Book(day, out, self.ledger) if day.registry else None
+        self.forward_addresses = [""] * scenario.instances  # of the forward-auth front of each instance
+        self.registry_operator = RegistryOperator(scenario, out, self.ledger) if scenario.registry else None
         self.registry = (
-            Program("registry", ["registry", "--store", str(self.book.path)], out / "logs" / "registry.log")
-            if self.book
+            Program(
+                "registry",
+                ["registry", "--store", str(self.registry_operator.path)],
+                out / "logs" / "registry.log",
+            )
+            if self.registry_operator
             else None
         )
         self.gateways: list[Program] = []
-        self.agreed: KeeperFleet | None = None  # made where the day has keepers, once its folder is empty
-        self.prober: Prober | None = None
-        self.newest = 0  # version of the agreed settings
-        self.settings = day.gateway  # with what was proposed since
-        self.up_since = [0.0] * day.servers.count
+        self.keepers: KeeperGroup | None = None  # set in start(), once the state folder is empty
+        self.prober: VersionProber | None = None
+        self.newest_version = 0  # of the agreed settings
+        self.gateway_settings = scenario.gateway  # updated by proposals
+        self.up_since = [0.0] * scenario.servers.count
         self.greenlets: list[gevent.Greenlet] = []
 
-    def _ledger(self, name: str) -> str:
+    def _ledger_path(self, name: str) -> str:
         return str(self.out / "ledgers" / f"{name}.jsonl")
 
-    def _server(self, i: int) -> StandinProgram:
+    def _server_program(self, i: int) -> StandinProgram:
         name = f"server-{i}"
         return StandinProgram(
             "tariff",
             name,
-            self.day.servers.like
-            | {"name": name, "seed": self.day.seed * 1000 + i, "ledger": self._ledger(name)},
+            self.scenario.servers.like
+            | {"name": name, "seed": self.scenario.seed * 1000 + i, "ledger": self._ledger_path(name)},
             self.out,
         )
 
-    def _tokens(self) -> dict[str, Any]:
+    def _token_claims(self) -> dict[str, Any]:
+        """The claims of each token that a customer uses during the run."""
         scopes = " ".join(
             sorted(
                 {
-                    word
-                    for route in self.day.gateway.get("routes", [])
-                    for word in route.get("scope", "").split()
+                    scope
+                    for route in self.scenario.gateway.get("routes", [])
+                    for scope in route.get("scope", "").split()
                 }
             )
         )
-        made: dict[str, Any] = {}
-        life = self.day.tokens.exp_in_ms
-        turns = int(self.day.duration_ms / life) + 2 if life else 1
-        for customer, plan in customer_names(self.day):
-            for turn in range(turns):
+        tokens: dict[str, Any] = {}
+        lifetime_ms = self.scenario.tokens.exp_in_ms
+        periods = int(self.scenario.duration_ms / lifetime_ms) + 2 if lifetime_ms else 1
+        for customer, plan in customers_with_plans(self.scenario):
+            for period in range(periods):
                 claims: dict[str, Any] = {"sub": customer, "plan": plan, "scope": scopes}
-                if life:
-                    claims["exp_in_ms"] = life * (turn + 1.5)
-                made[token_name(customer, turn)] = claims
-        return made
+                if lifetime_ms:
+                    claims["exp_in_ms"] = lifetime_ms * (period + 1.5)
+                tokens[token_name(customer, period)] = claims
+        return tokens
 
     # ---- start and stop
 
     def start(self) -> None:
-        """Bring everything up, servers first."""
+        """Start all processes, beginning with the servers."""
         standins = [*self.servers, self.tokens, *self.counters]
         gevent.joinall([gevent.spawn(p.start) for p in standins], raise_error=True)
-        self.fleet.config["servers"] = [self._line(i) for i in range(len(self.servers))]
+        self.fleet.config["servers"] = [self._server_entry(i) for i in range(len(self.servers))]
         self.fleet.start()
-        if self.registry is not None and self.book is not None:
-            self.book.fill(self.clock())
+        if self.registry is not None and self.registry_operator is not None:
+            self.registry_operator.create_store(self.clock())
             self.registry.address = self.registry.start().removeprefix("listening on ")
-            self.registry.words += ["--port", self.registry.address.rpartition(":")[2]]
-        if self.day.keepers:
-            self._agree()
-        self.gateways = [self._gateway(i) for i in range(self.day.instances)]
+            self.registry.arguments += ["--port", self.registry.address.rpartition(":")[2]]
+        if self.scenario.keepers:
+            self._start_keepers()
+        self.gateways = [self._gateway_program(i) for i in range(self.scenario.instances)]
         gevent.joinall(
-            [gevent.spawn(self._start_gateway, i) for i in range(self.day.instances)], raise_error=True
+            [gevent.spawn(self._start_gateway, i) for i in range(self.scenario.instances)], raise_error=True
         )
         if self.prober is not None:
             self.prober.start()
         for proxy in self.proxies:
-            proxy.config |= {"gateways": self.forwards, "servers": [s.address for s in self.servers]}
+            proxy.config |= {"gateways": self.forward_addresses, "servers": [s.address for s in self.servers]}
         gevent.joinall([gevent.spawn(p.start) for p in self.proxies], raise_error=True)
 
     @property
-    def doors(self) -> list[Program]:
-        """Where clients come in: the instances, then the proxies."""
+    def entry_points(self) -> list[Program]:
+        """The programs that clients connect to: the instances, then the proxies."""
         return [*self.gateways, *self.proxies]
 
     def stop(self) -> dict[str, int | None]:
-        """End everything; the gateways' exit statuses by name."""
+        """End all processes; the exit statuses of the gateways by name."""
         gevent.killall(self.greenlets)
         if self.prober is not None:
             self.prober.stop()
@@ -189,104 +199,119 @@
                 program.stop()
             return {name: job.value for name, job in jobs.items()}
         finally:
-            if self.agreed is not None:
-                self.agreed.stop()
+            if self.keepers is not None:
+                self.keepers.stop()
             for program in programs:
                 program.kill()
 
-    def _gateway(self, i: int) -> Program:
+    def _gateway_program(self, i: int) -> Program:
         name = f"gateway-{i}"
         file = self.out / "config" / f"{name}.yaml"
         file.write_bytes(msgspec.yaml.encode(self.gateway_config(i)))
-        words, log = ["serve", str(file)], self.out / "logs" / f"{name}.log"
-        return self.agreed.program(f"instance {i}", words, log) if self.agreed else Program(name, words, log)
+        arguments, log = ["serve", str(file)], self.out / "logs" / f"{name}.log"
+        if self.keepers:
+            return self.keepers.create_program_with_log(f"instance {i}", arguments, log)
+        return Program(name, arguments, log)
 
-    # ---- settings that are agreed
+    # ---- agreed settings
 
-    def _agree(self) -> None:
+    def _start_keepers(self) -> None:
         """Start the keepers and put the first version in force."""
-        day = self.day
-        self.agreed = KeeperFleet(
-            self.out, day.keepers, day.instances, day.seed, self.clock, self.ledger, day.clocks, day.planted
+        scenario = self.scenario
+        self.keepers = KeeperGroup(
+            self.out,
+            scenario.keepers,
+            scenario.instances,
+            scenario.seed,
+            self.clock,
+            self.ledger,
+            scenario.clocks,
+            scenario.planted,
         )
-        self.agreed.start()
+        self.keepers.start()
         self._propose({})
-        self.agreed.in_force(1)
-        marks = Ledger(self.out / "ledgers" / "marks.jsonl")
-        self.prober = Prober(
-            [partial(self._address, i) for i in range(day.instances)], lambda: self.newest, self.clock, marks
+        self.keepers.wait_in_force(1)
+        probes = Ledger(self.out / "ledgers" / "marks.jsonl")
+        self.prober = VersionProber(
+            [partial(self._gateway_address, i) for i in range(scenario.instances)],
+            lambda: self.newest_version,
+            self.clock,
+            probes,
         )
 
-    def _address(self, i: int) -> str:
+    def _gateway_address(self, i: int) -> str:
+        """The address of a gateway; empty while it is down."""
         return self.gateways[i].address if self.gateways[i].alive else ""
 
     def _propose(self, changes: dict[str, Any]) -> None:
-        assert self.agreed is not None
-        self.settings = self.settings | changes
-        made = self._whole(0)
-        document = {name: made[name] for name in (*SHARED_SECTIONS, "terms") if name in made}
-        document["max_attempts"] = made.get("upstream", {}).get("max_attempts", 3)
-        told = self.agreed.propose(document, self.newest)
-        if not told.version:
-            raise ConfigError(f"{self.day.name}: propose: {told.reason}")
-        self.newest = told.version
-
-    def _agreed_config(self, i: int, made: dict[str, Any]) -> dict[str, Any]:
-        """An instance's own file: what is agreed is not in it."""
-        assert self.agreed is not None
-        own = {name: part for name, part in made.items() if name not in (*SHARED_SECTIONS, "terms")}
+        """Propose the settings with these changes; ConfigError if the keepers reject them."""
+        assert self.keepers is not None
+        self.gateway_settings = self.gateway_settings | changes
+        config = self._complete_config(0)
+        document = {name: config[name] for name in (*SHARED_SECTIONS, "terms") if name in config}
+        document["max_attempts"] = config.get("upstream", {}).get("max_attempts", 3)
+        reply = self.keepers.propose(document, self.newest_version)
+        if not reply.version:
+            raise ConfigError(f"{self.scenario.name}: propose: {reply.reason}")
+        self.newest_version = reply.version
+
+    def _managed_config(self, i: int, config: dict[str, Any]) -> dict[str, Any]:
+        """An instance's own configuration file, which leaves out the agreed settings."""
+        assert self.keepers is not None
+        own = {name: section for name, section in config.items() if name not in (*SHARED_SECTIONS, "terms")}
         own["upstream"] = {k: v for k, v in own["upstream"].items() if k != "max_attempts"}
         own["instance"] = {k: v for k, v in own["instance"].items() if k not in ("index", "gateways")}
-        return own | {"agreement": self.agreed.section(i, f"gateway-{i}")}
+        return own | {"agreement": self.keepers.agreement_section(i, f"gateway-{i}")}
 
     # ---- configurations
 
     def gateway_config(self, i: int, port: int = 0, forward_port: int = 0) -> dict[str, Any]:
-        """The configuration of one gateway: the day's, with the addresses of this run; ConfigError if bad."""
-        made = self._whole(i, port, forward_port)
-        where = f"{self.day.name}: gateway"
+        """A gateway's configuration with the addresses of this run; ConfigError if it is invalid."""
+        config = self._complete_config(i, port, forward_port)
+        where = f"{self.scenario.name}: gateway"
         try:
-            whole = {name: part for name, part in made.items() if name != "terms"}
-            derive.check(convert(whole, GatewayConfig, where))
+            complete = {name: section for name, section in config.items() if name != "terms"}
+            derive.check(convert(complete, GatewayConfig, where))
         except ConfigError:
             raise
         except ValueError as error:
             raise ConfigError(f"{where}: {error}") from error
-        return self._agreed_config(i, made) if self.agreed is not None else whole
+        return self._managed_config(i, config) if self.keepers is not None else complete
 
-    def _whole(self, i: int, port: int = 0, forward_port: int = 0) -> dict[str, Any]:
-        made = copy.deepcopy(self.settings)
-        made["instance"] = {
+    def _complete_config(self, i: int, port: int = 0, forward_port: int = 0) -> dict[str, Any]:
+        """The settings with all addresses of this run, whether agreed or not."""
+        config = copy.deepcopy(self.gateway_settings)
+        config["instance"] = {
             "index": i,
-            "gateways": self.day.instances,
-            "seed": self.day.seed * 100 + i,
+            "gateways": self.scenario.instances,
+            "seed": self.scenario.seed * 100 + i,
             "state_dir": str(self.out / "state"),
-        } | made.get("instance", {})
-        made["listen"] = {"port": port}
+        } | config.get("instance", {})
+        config["listen"] = {"port": port}
         if self.proxies:
-            made["forward"] = {
+            config["forward"] = {
                 "trusted": [f"{proxy_address(n)}/32" for n in range(len(self.proxies))],
                 "port": forward_port,
-            } | made["forward"]
-        made["fleet"] = made.get("fleet", {}) | {"feed": self.fleet.address or "127.0.0.1:1"}
-        like = self.day.tokens.like
-        made["introspection"] = made.get("introspection", {}) | {
+            } | config["forward"]
+        config["fleet"] = config.get("fleet", {}) | {"feed": self.fleet.address or "127.0.0.1:1"}
+        like = self.scenario.tokens.like
+        config["introspection"] = config.get("introspection", {}) | {
             "url": f"http://{self.tokens.address or '127.0.0.1:1'}/introspect",
             "client_id": like.get("client_id", "gateway"),
             "client_secret": like.get("client_secret", "gateway-secret"),
         }
         if self.counters:
-            made["counter"] = made.get("counter", {}) | {
+            config["counter"] = config.get("counter", {}) | {
                 "parts": [c.address or "127.0.0.1:1" for c in self.counters]
             }
-        if self.book is not None and self.registry is not None:
-            made["identity"] = made.get("identity", {}) | {
+        if self.registry_operator is not None and self.registry is not None:
+            config["identity"] = config.get("identity", {}) | {
                 "registry": self.registry.address or "127.0.0.1:1",
-                "public_key": str(public_path(self.book.path)),
-                "pepper": str(pepper_path(self.book.path)),
+                "public_key": str(public_path(self.registry_operator.path)),
+                "pepper": str(pepper_path(self.registry_operator.path)),
             }
-        made["upstream"] = made.get("upstream", {}) | {"source_address": source_address(i)}
-        return made
+        config["upstream"] = config.get("upstream", {}) | {"source_address": source_address(i)}
+        return config
 
     def _start_gateway(self, i: int) -> None:
         program = self.gateways[i]
@@ -294,18 +319,18 @@
         file = self.out / "config" / f"{program.name}.yaml"
         port, forward_port = int(program.address.rpartition(":")[2]), 0
         if self.proxies:
-            self.forwards[i] = program.line().removeprefix("forward-auth on ")
-            forward_port = int(self.forwards[i].rpartition(":")[2])
-        # the ports stay at a restart
+            self.forward_addresses[i] = program.read_line().removeprefix("forward-auth on ")
+            forward_port = int(self.forward_addresses[i].rpartition(":")[2])
+        # a restart reuses the ports
         file.write_bytes(msgspec.yaml.encode(self.gateway_config(i, port, forward_port)))
         self.ledger.record(
-            self.clock(), "instance_up", index=i, source=source_address(i), forward=self.forwards[i]
+            self.clock(), "instance_up", index=i, source=source_address(i), forward=self.forward_addresses[i]
         )
 
-    # ---- the list of servers
+    # ---- the server list
 
-    def _line(self, i: int, state: str = "ready") -> dict[str, Any]:
-        servers = self.day.servers
+    def _server_entry(self, i: int, state: str = "ready") -> dict[str, Any]:
+        servers = self.scenario.servers
         return {
             "address": self.servers[i].address,
             "state": state,
@@ -314,32 +339,34 @@
             "up_since_ms": self.up_since[i],
         }
 
-    def _list(self, i: int, state: str) -> None:
-        self.fleet.command("PUT", "/servers", [self._line(i, state)])
+    def _publish_state(self, i: int, state: str) -> None:
+        self.fleet.command("PUT", "/servers", [self._server_entry(i, state)])
 
-    # ---- what happens
+    # ---- events
 
-    def happen(self, event: Event) -> None:
-        """Carry out one event."""
-        if event.do in ("rotate", "set_plan") and self.book is not None:
+    def apply_event(self, event: ScenarioEvent) -> None:
+        """Apply one event."""
+        if event.do in ("rotate", "set_plan") and self.registry_operator is not None:
             self.ledger.record(self.clock(), "event", do=event.do, target=event.customers)
-            return self.book.happen(event, self.clock())
+            return self.registry_operator.apply_event(event, self.clock())
         self.ledger.record(self.clock(), "event", do=event.do, target=event.target)
-        if self.agreed is not None and self._agreed_happens(self.agreed, event):
+        if self.keepers is not None and self._apply_keeper_event(self.keepers, event):
             return None
-        kind, number = process(event)
+        kind, number = parse_target(event)
         match event.do, kind:
             case "fault", _:
-                self._standin(kind, number).command("POST", "/faults", msgspec.to_builtins(event.fault))
+                self._standin_program(kind, number).command(
+                    "POST", "/faults", msgspec.to_builtins(event.fault)
+                )
             case "clear", _:
-                self._standin(kind, number).command("DELETE", "/faults")
+                self._standin_program(kind, number).command("DELETE", "/faults")
             case "kill", "server":
                 self.servers[number].kill()
-                self._later(self.day.fleet.detect_ms, self._noticed_dead, number)
+                self._schedule(self.scenario.fleet.detect_ms, self._remove_dead_server, number)
             case "start", "server":
                 self._start_cold(number)
             case ("drain" | "ready" | "remove") as do, "server":
-                self._list(number, {"drain": "draining", "ready": "ready", "remove": "gone"}[do])
+                self._publish_state(number, {"drain": "draining", "ready": "ready", "remove": "gone"}[do])
             case "kill", "instance":
                 self._kill_gateway(number)
             case "start", "instance":
@@ -351,31 +378,31 @@
                 assert self.registry is not None
                 self.registry.start()
             case "stall", "instance":
-                halt(self.gateways[number])  # what is noted as stopped does stand still from then on
+                suspend(self.gateways[number])  # before the note, so that it is suspended at the noted time
                 self.ledger.record(self.clock(), "instance_stalls", index=number, for_ms=event.for_ms)
-                self._later(event.for_ms, self._resume, number)
+                self._schedule(event.for_ms, self._resume_gateway, number)
             case "stall", "server":
                 fault = {"kind": "stall", "for_ms": event.for_ms}
                 self.servers[number].command("POST", "/faults", fault)
 
-    def _agreed_happens(self, agreed: KeeperFleet, event: Event) -> bool:
-        """Carry out what concerns the agreement; False where the event does not."""
+    def _apply_keeper_event(self, keepers: KeeperGroup, event: ScenarioEvent) -> bool:
+        """Apply an event that concerns keepers or agreed settings; False if the event does not."""
         if event.do == "propose":
             self._propose(event.changes)
             return True
         if event.do in ("link", "heal"):
             near, _, far = event.target.partition(" > ")
             if event.link is not None:
-                agreed.spoil(near, far, event.link)
+                keepers.inject(near, far, event.link)
             else:
-                agreed.heal(near, far)
+                keepers.heal(near, far)
             return True
-        kind, number = process(event)
+        kind, number = parse_target(event)
         if event.do == "step":
-            program = agreed.programs[number] if kind == "keeper" else self.gateways[number]
+            program = keepers.programs[number] if kind == "keeper" else self.gateways[number]
             program.signal(signal.SIGUSR2)
             return True
-        if kind == "instance" and event.do == "wipe":  # its machine is lost with its disk
+        if kind == "instance" and event.do == "wipe":  # the loss of a machine with its disk
             self._kill_gateway(number)
             shutil.rmtree(self.out / "state" / f"gateway-{number}", ignore_errors=True)
             return True
@@ -383,21 +410,21 @@
             return False
         match event.do:
             case "kill" | "wipe":
-                agreed.kill(number, event.do == "wipe")
+                keepers.kill(number, event.do == "wipe")
             case "start":
-                agreed.restart([number])
+                keepers.restart([number])
             case "fill" | "empty":
-                agreed.fill_disk(number, event.do == "fill")
+                keepers.fill_disk(number, event.do == "fill")
             case "stall":
-                agreed.programs[number].signal(signal.SIGSTOP)
-                self._later(event.for_ms, agreed.programs[number].signal, signal.SIGCONT)
+                keepers.programs[number].signal(signal.SIGSTOP)
+                self._schedule(event.for_ms, keepers.programs[number].signal, signal.SIGCONT)
         return True
 
     def _kill_gateway(self, number: int) -> None:
         self.ledger.record(self.clock(), "instance_down", index=number)
         self.gateways[number].kill()
 
-    def _standin(self, kind: str, number: int) -> StandinProgram:
+    def _standin_program(self, kind: str, number: int) -> StandinProgram:
         if kind == "server":
             return self.servers[number]
         if kind == "counter":
@@ -406,20 +433,20 @@
             return self.proxies[number]
         return self.tokens if kind == "tokens" else self.fleet
 
-    def _later(self, after_ms: float, call: Any, *args: Any) -> None:
+    def _schedule(self, after_ms: float, call: Any, *args: Any) -> None:
         self.greenlets.append(gevent.spawn_later(after_ms / 1000, call, *args))
 
-    def _noticed_dead(self, number: int) -> None:
+    def _remove_dead_server(self, number: int) -> None:
         if not self.servers[number].alive:
-            self._list(number, "gone")
+            self._publish_state(number, "gone")
 
     def _start_cold(self, number: int) -> None:
         server = self.servers[number]
         server.config["cold"] = True
         started = msgspec.json.decode(server.start())
         self.up_since[number] = started["at_ms"]
-        self._list(number, "ready")
+        self._publish_state(number, "ready")
 
-    def _resume(self, number: int) -> None:
+    def _resume_gateway(self, number: int) -> None:
         self.gateways[number].signal(signal.SIGCONT)
         self.ledger.record(self.clock(), "instance_resumes", index=number)
--- a/tamarindfold/rehearsal/page.py
+++ b/tamarindfold/rehearsal/html_report.py
@@ -1,4 +1,4 @@
-"""A run as one HTML page that needs nothing else: verdicts, figures, and what happened when."""
+"""The report of a run as a self-contained HTML page: verdicts, figures and a timeline; and its comparison."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tamarindfold.rehearsal.evidence import Evidence
+from tamarindfold.rehearsal.observations import Observations
 
 BIN_MS = 500.0
 STYLE = """body{font:15px/1.45 sans-serif;max-width:70em;margin:2em auto;padding:0 1em;color:#222}
@@ -18,44 +18,48 @@
 .pass{color:#176b2c}.FAIL{color:#b00020;font-weight:bold}svg{width:100%;height:auto}pre{overflow:auto}"""
 
 
-def series(times: Sequence[tuple[float, str]], began: float, until: float) -> dict[str, list[float]]:
-    """Occurrences a second by kind, in bins of BIN_MS."""
+def rates_by_kind(
+    occurrences: Sequence[tuple[float, str]], began: float, until: float
+) -> dict[str, list[float]]:
+    """Occurrences per second by kind, in bins of BIN_MS."""
     bins = max(1, int((until - began) / BIN_MS) + 1)
     out: dict[str, list[float]] = {}
-    for at, kind in times:
+    for at, kind in occurrences:
         if began <= at <= until:
             out.setdefault(kind, [0.0] * bins)[int((at - began) / BIN_MS)] += 1000 / BIN_MS
     return dict(sorted(out.items()))
 
 
-def plots(evidence: Evidence) -> str:
-    """Goodput by plan, refusals by status, work by server, with the day's events, as one SVG."""
+def plots(observations: Observations) -> str:
+    """Goodput by plan, tries not served by status, and attempts by server, with the events, as one SVG."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    tries = evidence.tries.values()
-    began = min((known.sent["t"] for known in tries), default=0.0)
-    until = max((known.sent["t"] for known in tries), default=began + 1)
-    served, refused = [], []
-    for known in tries:
-        for answer in known.answers[:1]:
+    tries = observations.tries.values()
+    began = min((client_try.sent["t"] for client_try in tries), default=0.0)
+    until = max((client_try.sent["t"] for client_try in tries), default=began + 1)
+    served, not_served = [], []
+    for client_try in tries:
+        for answer in client_try.answers[:1]:
             if answer["outcome"] == "served":
-                served.append((answer["t"], str(known.sent["plan"])))
+                served.append((answer["t"], str(client_try.sent["plan"])))
             else:
-                refused.append((answer["t"], f"{answer['outcome'] or 'proxy'} {answer['status']}"))
-    work = [(receipt.at, receipt.server) for known in tries for receipt in known.receipts]
+                not_served.append((answer["t"], f"{answer['outcome'] or 'proxy'} {answer['status']}"))
+    attempts = [
+        (attempt.received_at, attempt.server) for client_try in tries for attempt in client_try.attempts
+    ]
     figure, axes = pyplot.subplots(3, 1, figsize=(11, 8), sharex=True, layout="constrained")
-    kinds = (
-        ("served a second, by plan", served),
-        ("not served a second", refused),
-        ("requests a second, by server", work),
+    charts = (
+        ("served per second, by plan", served),
+        ("not served per second, by outcome", not_served),
+        ("requests per second, by server", attempts),
     )
-    for axis, (title, times) in zip(axes, kinds, strict=True):
-        for kind, values in series(times, began, until).items():
+    for axis, (title, occurrences) in zip(axes, charts, strict=True):
+        for kind, values in rates_by_kind(occurrences, began, until).items():
             axis.plot([i * BIN_MS / 1000 for i in range(len(values))], values, label=kind, linewidth=1)
-        for event in (e for e in evidence.run if e["what"] == "event"):
+        for event in (e for e in observations.run_events if e["what"] == "event"):
             axis.axvline((event["t"] - began) / 1000, color="#999", linewidth=0.6, linestyle=":")
         axis.set_title(title, fontsize=10, loc="left")
         if axis.get_legend_handles_labels()[0]:
@@ -69,16 +73,16 @@
 
 
 def _table(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    cells = "".join(f"<th>{escape(word)}</th>" for word in head)
+    cells = "".join(f"<th>{escape(title)}</th>" for title in head)
     body = "".join(
         "<tr>" + "".join(f"<td>{escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows
     )
     return f"<table><tr>{cells}</tr>{body}</table>"
 
 
-def make(report: dict[str, Any], evidence: Evidence) -> str:
-    """The page."""
-    began = min((known.sent["t"] for known in evidence.tries.values()), default=0.0)
+def render(report: dict[str, Any], observations: Observations) -> str:
+    """The page for a report."""
+    began = min((client_try.sent["t"] for client_try in observations.tries.values()), default=0.0)
     rules = "".join(
         f"<tr><td class={'pass' if r['passed'] else 'FAIL'}>{'pass' if r['passed'] else 'FAIL'}</td>"
         f"<td>{escape(r['rule'])}</td><td>{r['breaches']}</td><td>{r['looked_at']}</td>"
@@ -87,14 +91,16 @@
     )
     events = [
         (f"{(e['t'] - began) / 1000:.1f} s", e["do"], e["target"])
-        for e in evidence.run
+        for e in observations.run_events
         if e["what"] == "event"
     ]
     statuses = Counter(
-        str(known.answers[0]["status"]) if known.answers else "none" for known in evidence.tries.values()
+        str(client_try.answers[0]["status"]) if client_try.answers else "none"
+        for client_try in observations.tries.values()
     )
     latency = [
-        (cls, *(f"{value:.1f}" for value in figures.values())) for cls, figures in report["latency"].items()
+        (cls, *(f"{value:.1f}" for value in percentiles.values()))
+        for cls, percentiles in report["latency"].items()
     ]
     verdict = "passed" if report["passed"] else "FAILED"
     return "".join(
@@ -104,10 +110,10 @@
             f"<style>{STYLE}</style><h1>{escape(report['day'])}: ",
             f"<span class={'pass' if report['passed'] else 'FAIL'}>{verdict}</span></h1>",
             f"<p>Seed {report['seed']}; {100 * report['calls_served']:.1f}% of requests served.</p>",
-            "<table><tr><th></th><th>rule</th><th>broken</th><th>looked at</th><th>first</th></tr>",
+            "<table><tr><th></th><th>rule</th><th>broken</th><th>examined</th><th>first</th></tr>",
             rules,
             "</table>",
-            plots(evidence),
+            plots(observations),
             "<h2>Tries</h2>",
             _table(("status", "tries"), sorted(statuses.items())),
             "<h2>Latency of served tries, ms</h2>",
@@ -121,25 +127,25 @@
     )
 
 
-def figures(report: dict[str, Any], under: str = "") -> dict[str, float]:
-    """All numbers of a report by their path."""
+def flatten_numbers(report: dict[str, Any], prefix: str = "") -> dict[str, float]:
+    """All numbers of a report, by their dotted path."""
     out: dict[str, float] = {}
     for name, value in report.items():
         if isinstance(value, bool | int | float):
-            out[under + name] = float(value)
+            out[prefix + name] = float(value)
         elif isinstance(value, dict) and name != "first":
-            out |= figures(value, f"{under}{name}.")
+            out |= flatten_numbers(value, f"{prefix}{name}.")
         elif isinstance(value, list):
             for entry in value:
                 if isinstance(entry, dict) and "rule" in entry:
-                    told = {key: value for key, value in entry.items() if key != "first"}
-                    out |= figures(told, f"{under}{entry['rule']}.")
+                    verdict = {key: value for key, value in entry.items() if key != "first"}
+                    out |= flatten_numbers(verdict, f"{prefix}{entry['rule']}.")
     return out
 
 
-def compare(a: dict[str, Any], b: dict[str, Any]) -> list[str]:
-    """Lines: what differs between two reports, the first's value, the second's, and their ratio."""
-    left, right = figures(a), figures(b)
+def compare_reports(a: dict[str, Any], b: dict[str, Any]) -> list[str]:
+    """The numbers that differ between two reports, a line each: path, both values, and their ratio."""
+    left, right = flatten_numbers(a), flatten_numbers(b)
     out = []
     for name in sorted(left.keys() | right.keys()):
         one, two = left.get(name), right.get(name)
--- a/tamarindfold/rehearsal/judge.py
+++ b/tamarindfold/rehearsal/judge.py
@@ -1,7 +1,8 @@
-"""Judges the five rules by what stood on the sockets, never by the gateway's own word.
+"""Checks a run against the five rules and further conditions, from what was observed on the sockets.
 
-What the clients sent and got, what reached the servers and ran, what the list told to whom. Each rule gives
-a count of what was looked at, a count of breaches, and the first of them.
+The input is what clients sent and received, what reached the servers and ran, and which server list each
+gateway was sent; never what a gateway reports about itself. Each verdict counts what was examined and the
+breaches, and keeps the earliest breach.
 """
 
 from __future__ import annotations
@@ -13,183 +14,195 @@
 from typing import Any
 
 from tamarindfold.agreement.document import Terms
-from tamarindfold.rehearsal.day import Day
-from tamarindfold.rehearsal.evidence import Evidence, Receipt, Try
-from tamarindfold.rehearsal.marks import contradictions
+from tamarindfold.rehearsal.observations import Observations, ReceivedAttempt, Try
+from tamarindfold.rehearsal.scenario import Scenario
+from tamarindfold.rehearsal.version_probe import find_stale_versions
 
-INFORMED = 2 / 3  # of the work that pushed a cold server over: the share of gateways that knew it had started
+# Least ratio of the work in an overload that must come from gateways that knew of the server's start.
+INFORMED = 2 / 3
 
 
 @dataclass(slots=True)
 class Verdict:
-    """One rule."""
+    """The result of one check."""
 
     rule: str
-    looked_at: int = 0
+    examined: int = 0
     breaches: int = 0
-    first: dict[str, Any] | None = None
-    notes: dict[str, Any] = field(default_factory=dict)
+    first_breach: dict[str, Any] | None = None
+    details: dict[str, Any] = field(default_factory=dict)
 
     @property
     def passed(self) -> bool:
-        """Nothing broken, and something looked at."""
-        return self.breaches == 0 and self.looked_at > 0
+        """Whether something was examined and no breach was found."""
+        return self.breaches == 0 and self.examined > 0
 
     def breach(self, at: float, **what: Any) -> None:
-        """Count one breach; the earliest is kept."""
+        """Count a breach, and keep it if it is the earliest."""
         self.breaches += 1
-        if self.first is None or at < self.first["t"]:
-            self.first = {"t": at} | what
+        if self.first_breach is None or at < self.first_breach["t"]:
+            self.first_breach = {"t": at} | what
 
 
-def judge(day: Day, evidence: Evidence) -> list[Verdict]:
-    """The five rules, and what else a day must keep."""
-    safety = day.gateway.get("safety", {})
-    slack = day.judging.slack_ms
+def judge(scenario: Scenario, observations: Observations) -> list[Verdict]:
+    """The verdicts on the five rules, followed by those on the other checks that apply to the scenario."""
+    safety = scenario.gateway.get("safety", {})
+    slack = scenario.judging.slack_ms
     return [
-        one_answer(evidence, safety.get("answer_grace_ms", 100.0) + slack, slack),
-        no_effect_twice(evidence),
-        drains_kept(evidence, safety.get("drain_grace_ms", 250.0) + slack),
-        cold_not_pushed_over(evidence),
-        ceilings_kept(evidence),
-        only_the_entitled(evidence, slack),
-        *([callers_told_the_truth(evidence)] if evidence.ended else []),
-        *([settings_agreed(day, evidence)] if day.keepers else []),
-    ] + ([valid_keys_accepted(evidence), counted_under_their_plans(evidence, slack)] if day.registry else [])
+        check_one_answer(observations, safety.get("answer_grace_ms", 100.0) + slack, slack),
+        check_no_double_effect(observations),
+        check_drains(observations, safety.get("drain_grace_ms", 250.0) + slack),
+        check_cold_servers(observations),
+        check_ceilings(observations),
+        check_tokens(observations, slack),
+        *([check_call_results(observations)] if observations.call_results else []),
+        *([check_agreed_settings(scenario, observations)] if scenario.keepers else []),
+    ] + (
+        [check_valid_keys(observations), check_counter_plans(observations, slack)]
+        if scenario.registry
+        else []
+    )
 
 
 # ---- rule 1
 
 
-def _away(evidence: Evidence) -> dict[int, list[tuple[float, float, str]]]:
-    """When each instance was dead or stood still."""
+def _outages(observations: Observations) -> dict[int, list[tuple[float, float, str]]]:
+    """By instance: begin, end and kind of each period in which it was dead or suspended."""
     out: dict[int, list[tuple[float, float, str]]] = {}
     since: dict[tuple[int, str], float] = {}
-    for entry in evidence.run:
+    for entry in observations.run_events:
         what, index = entry["what"], entry.get("index", -1)
         if what == "instance_down":
             since[index, "dead"] = entry["t"]
         elif what == "instance_stalls":
-            since[index, "still"] = entry["t"]
+            since[index, "suspended"] = entry["t"]
         elif what in ("instance_up", "instance_resumes"):
-            how = "dead" if what == "instance_up" else "still"
-            if (began := since.pop((index, how), None)) is not None:
-                out.setdefault(index, []).append((began, entry["t"], how))
-    for (index, how), began in since.items():
-        out.setdefault(index, []).append((began, float("inf"), how))
+            kind = "dead" if what == "instance_up" else "suspended"
+            if (began := since.pop((index, kind), None)) is not None:
+                out.setdefault(index, []).append((began, entry["t"], kind))
+    for (index, kind), began in since.items():
+        out.setdefault(index, []).append((began, float("inf"), kind))
     return out
 
 
-def one_answer(evidence: Evidence, grace_ms: float, slack_ms: float) -> Verdict:
-    """Each try taken by a live instance: one final answer in time, nothing sent to a server afterwards.
+def check_one_answer(observations: Observations, grace_ms: float, slack_ms: float) -> Verdict:
+    """Each try that a live instance accepted gets one final answer in time, and no attempt is sent after it.
 
-    A try that an instance held when it was killed is the client's to send again. One that a stopped process
-    (SIGSTOP) held is owed its answer from the moment it runs again.
+    A try that was open at an instance when the instance was killed is left to the client to retry. A try that
+    was open at a suspended instance (SIGSTOP) must be answered from the moment at which the instance resumes.
     """
     verdict = Verdict("no request lost")
-    away = _away(evidence)
-    for known in evidence.tries.values():
-        verdict.looked_at += 1
-        sent, deadline = known.sent["t"], known.sent["deadline"]
-        gaps = away.get(known.sent["gateway"], [])
-        if len(known.answers) > 1 or known.again:
-            verdict.breach(sent, request=known.name, what="answered twice")
-        if not known.answers:
-            end = known.broken["t"] if known.broken else deadline
+    outages = _outages(observations)
+    for client_try in observations.tries.values():
+        verdict.examined += 1
+        sent, deadline = client_try.sent["t"], client_try.sent["deadline"]
+        gaps = outages.get(client_try.sent["gateway"], [])
+        if len(client_try.answers) > 1 or client_try.extra_bytes:
+            verdict.breach(sent, request=client_try.name, what="answered twice")
+        if not client_try.answers:
+            end = client_try.broken["t"] if client_try.broken else deadline
             dead = any(
-                how == "dead" and began <= end + slack_ms and sent <= until for began, until, how in gaps
+                kind == "dead" and began <= end + slack_ms and sent <= until for began, until, kind in gaps
             )
-            # a client that left while the instance stood still, past the deadline, can't be answered any more
-            left = known.broken is not None and any(
-                how == "still" and began <= deadline and known.broken["t"] <= until
-                for began, until, how in gaps
+            # The client gave up while the instance was suspended past the deadline: no answer is possible.
+            left = client_try.broken is not None and any(
+                kind == "suspended" and began <= deadline and client_try.broken["t"] <= until
+                for began, until, kind in gaps
             )
             if not dead and not left:
                 verdict.breach(
                     sent,
-                    request=known.name,
+                    request=client_try.name,
                     what="no answer",
-                    how=known.broken["how"] if known.broken else "none",
+                    how=client_try.broken["how"] if client_try.broken else "none",
                 )
             continue
-        answered = known.answers[0]["t"]
+        answered = client_try.answers[0]["t"]
         due = max(
             [deadline]
-            + [until for began, until, how in gaps if how == "still" and sent <= until and began <= deadline]
+            + [
+                until
+                for began, until, kind in gaps
+                if kind == "suspended" and sent <= until and began <= deadline
+            ]
         )
         if answered > due + grace_ms:
-            verdict.breach(sent, request=known.name, what="answered late", late_ms=answered - deadline)
-        for receipt in known.receipts:
-            if receipt.at > answered + slack_ms:
+            verdict.breach(sent, request=client_try.name, what="answered late", late_ms=answered - deadline)
+        for attempt in client_try.attempts:
+            if attempt.received_at > answered + slack_ms:
                 verdict.breach(
-                    receipt.at,
-                    request=known.name,
+                    attempt.received_at,
+                    request=client_try.name,
                     what="sent after the final answer",
-                    server=receipt.server,
-                    after_ms=receipt.at - answered,
+                    server=attempt.server,
+                    after_ms=attempt.received_at - answered,
                 )
-    for stray in evidence.strays:
-        verdict.breach(stray.at, request=stray.entry["try"], what="sent by nobody", server=stray.server)
+    for attempt in observations.unmatched:
+        verdict.breach(
+            attempt.received_at, request=attempt.entry["try"], what="sent by no client", server=attempt.server
+        )
     return verdict
 
 
 # ---- rule 2
 
 
-def _same_group(evidence: Evidence, group: str, a: Receipt, b: Receipt) -> bool:
+def _same_group(observations: Observations, group: str, a: ReceivedAttempt, b: ReceivedAttempt) -> bool:
+    """Whether two attempts went to servers within which the class allows a repeat."""
     if group == "all":
         return True
-    table = evidence.zones if group == "zone" else evidence.cells
+    table = observations.zones if group == "zone" else observations.cells
     return table[a.server] == table[b.server]
 
 
-def no_effect_twice(evidence: Evidence) -> Verdict:
-    """After a try may have run, nothing more of it is sent but where its class allows; nor is it refused."""
+def check_no_double_effect(observations: Observations) -> Verdict:
+    """A try that may have run is repeated only as its class allows, and is not refused."""
     verdict = Verdict("no effect twice")
     calls: dict[int, list[Try]] = {}
-    for known in evidence.tries.values():
-        calls.setdefault(known.sent["call"], []).append(known)
-        facts = evidence.classes[known.sent["cls"]]
-        if facts.effect == "safe":
+    for client_try in observations.tries.values():
+        calls.setdefault(client_try.sent["call"], []).append(client_try)
+        cls_info = observations.classes[client_try.sent["cls"]]
+        if cls_info.effect == "safe":
             continue
-        verdict.looked_at += 1
-        doubtful = [r for r in known.receipts if not r.full]
-        for earlier, later in pairwise(doubtful):
-            if facts.effect == "unsafe":
+        verdict.examined += 1
+        may_have_run = [a for a in client_try.attempts if not a.queue_full]
+        for earlier, later in pairwise(may_have_run):
+            if cls_info.effect == "unsafe":
                 verdict.breach(
-                    later.at,
-                    request=known.name,
+                    later.received_at,
+                    request=client_try.name,
                     what="sent again after it may have run",
                     servers=[earlier.server, later.server],
                 )
-            elif later.at - doubtful[0].at > facts.window_ms or not _same_group(
-                evidence, facts.group, doubtful[0], later
+            elif later.received_at - may_have_run[0].received_at > cls_info.window_ms or not _same_group(
+                observations, cls_info.group, may_have_run[0], later
             ):
                 verdict.breach(
-                    later.at,
-                    request=known.name,
+                    later.received_at,
+                    request=client_try.name,
                     what="repeated outside the group or the window",
-                    servers=[doubtful[0].server, later.server],
+                    servers=[may_have_run[0].server, later.server],
                 )
-        outcome = known.answers[0]["outcome"] if known.answers else ""
-        if doubtful and outcome == "refused" and (facts.effect == "unsafe" or facts.group != "all"):
+        outcome = client_try.answers[0]["outcome"] if client_try.answers else ""
+        if may_have_run and outcome == "refused" and (cls_info.effect == "unsafe" or cls_info.group != "all"):
             verdict.breach(
-                doubtful[0].at,
-                request=known.name,
+                may_have_run[0].received_at,
+                request=client_try.name,
                 what="refused though it may have run",
-                server=doubtful[0].server,
+                server=may_have_run[0].server,
             )
     for call, tries in calls.items():
-        if evidence.classes[tries[0].sent["cls"]].effect != "unsafe":
+        if observations.classes[tries[0].sent["cls"]].effect != "unsafe":
             continue
-        ran = [r for known in tries for r in known.receipts if r.ran]
-        if sum(r.ran for r in ran) > 1:
+        ran = [a for client_try in tries for a in client_try.attempts if a.runs]
+        if sum(a.runs for a in ran) > 1:
             verdict.breach(
-                ran[-1].at,
+                ran[-1].received_at,
                 call=call,
                 request=tries[0].name,
                 what="ran twice",
-                servers=[r.server for r in ran],
+                servers=[a.server for a in ran],
             )
     return verdict
 
@@ -197,254 +210,269 @@
 # ---- rule 3
 
 
-def _listing(evidence: Evidence) -> dict[tuple[str, str], list[tuple[float, str, float]]]:
-    """What each gateway was told of each server: when, state, up since."""
+def _listing(observations: Observations) -> dict[tuple[str, str], list[tuple[float, str, float]]]:
+    """By gateway and server: the updates that the gateway got (time, state, start time of the server)."""
     out: dict[tuple[str, str], list[tuple[float, str, float]]] = {}
-    held: dict[str, set[str]] = {}
-    for entry in sorted(evidence.told, key=lambda e: e["t"]):
-        peer, named = entry["peer"], entry["servers"]
+    listed: dict[str, set[str]] = {}
+    for entry in sorted(observations.list_updates, key=lambda e: e["t"]):
+        gateway, named = entry["peer"], entry["servers"]
         if entry["kind"] == "full":
-            for server in held.get(peer, set()) - set(named):
-                out[peer, server].append((entry["t"], "gone", 0.0))
-            held[peer] = set()
+            for server in listed.get(gateway, set()) - set(named):
+                out[gateway, server].append((entry["t"], "gone", 0.0))
+            listed[gateway] = set()
         for server, (state, up_since) in named.items():
-            held.setdefault(peer, set()).add(server)
-            out.setdefault((peer, server), []).append((entry["t"], state, up_since))
+            listed.setdefault(gateway, set()).add(server)
+            out.setdefault((gateway, server), []).append((entry["t"], state, up_since))
     return out
 
 
-def drains_kept(evidence: Evidence, grace_ms: float) -> Verdict:
-    """Nothing new reaches a server later than the grace after its gateway was told to send no more."""
+def check_drains(observations: Observations, grace_ms: float) -> Verdict:
+    """A gateway sends nothing to a server later than the grace period after it was notified of a drain."""
     verdict = Verdict("drains kept")
-    listing = _listing(evidence)
-    for receipt in _receipts(evidence):
-        verdict.looked_at += 1
-        news = listing.get((receipt.peer, receipt.server), [])
-        at = bisect_right(news, receipt.ordered, key=lambda n: n[0]) - 1
-        if at < 0 or news[at][1] == "ready":
+    listing = _listing(observations)
+    for attempt in _all_attempts(observations):
+        verdict.examined += 1
+        updates = listing.get((attempt.gateway, attempt.server), [])
+        at = bisect_right(updates, attempt.decided_at, key=lambda update: update[0]) - 1
+        if at < 0 or updates[at][1] == "ready":
             continue
         since = at
-        while since > 0 and news[since - 1][1] != "ready":
+        while since > 0 and updates[since - 1][1] != "ready":
             since -= 1
-        if receipt.ordered > news[since][0] + grace_ms:
+        if attempt.decided_at > updates[since][0] + grace_ms:
             verdict.breach(
-                receipt.at,
-                request=receipt.entry["try"],
-                server=receipt.server,
-                what=f"sent {receipt.ordered - news[since][0]:.0f} ms after {news[since][1]}",
+                attempt.received_at,
+                request=attempt.entry["try"],
+                server=attempt.server,
+                what=f"sent {attempt.decided_at - updates[since][0]:.0f} ms after {updates[since][1]}",
             )
     return verdict
 
 
-def _receipts(evidence: Evidence) -> list[Receipt]:
-    found = [r for known in evidence.tries.values() for r in known.receipts]
-    return sorted(found + evidence.strays, key=lambda r: r.at)
+def _all_attempts(observations: Observations) -> list[ReceivedAttempt]:
+    """All attempts that reached a server, in the order of arrival."""
+    found = [a for client_try in observations.tries.values() for a in client_try.attempts]
+    return sorted(found + observations.unmatched, key=lambda a: a.received_at)
 
 
 # ---- rule 4
 
 
-def cold_not_pushed_over(evidence: Evidence) -> Verdict:
-    """No window of overload_ms brings a cold server more work than the multiple of what it can do then.
+def check_cold_servers(observations: Observations) -> Verdict:
+    """No cold server gets, within overload_ms, more work than the allowed multiple of its current capacity.
 
-    Counted anew from the work that came, not from the server's own fall. Only work from gateways that knew of
-    the start counts as theirs: two thirds of it must be, for a breach.
+    The load is computed from the work that arrived, not from the server's own overload state. It is a breach
+    only if at least two thirds of the work came from gateways that had been notified of the server's start.
     """
     verdict = Verdict("cold servers not pushed over")
-    listing = _listing(evidence)
-    by_server: dict[str, list[Receipt]] = {}
-    for receipt in _receipts(evidence):
-        by_server.setdefault(receipt.server, []).append(receipt)
-    worst = 0.0
-    for server, births in evidence.births.items():
-        for birth in births:
-            if not birth["cold"]:
+    listing = _listing(observations)
+    by_server: dict[str, list[ReceivedAttempt]] = {}
+    for attempt in _all_attempts(observations):
+        by_server.setdefault(attempt.server, []).append(attempt)
+    highest_load = 0.0
+    for server, starts in observations.server_starts.items():
+        for start in starts:
+            if not start["cold"]:
                 continue
-            verdict.looked_at += 1
-            window: deque[Receipt] = deque()
-            warm = birth["t"] + birth["cold_ms"]
-            came = [r for r in by_server.get(server, []) if birth["t"] <= r.at < warm]
-            for receipt in came:
-                window.append(receipt)
-                while window[0].at <= receipt.at - birth["overload_ms"]:
+            verdict.examined += 1
+            window: deque[ReceivedAttempt] = deque()
+            warm_at = start["t"] + start["cold_ms"]
+            arrived = [a for a in by_server.get(server, []) if start["t"] <= a.received_at < warm_at]
+            for attempt in arrived:
+                window.append(attempt)
+                while window[0].received_at <= attempt.received_at - start["overload_ms"]:
                     window.popleft()
-                age = (receipt.at - birth["t"]) / birth["cold_ms"]
-                able = birth["start_capacity"] + (1 - birth["start_capacity"]) * age
+                age = (attempt.received_at - start["t"]) / start["cold_ms"]
+                capacity = start["start_capacity"] + (1 - start["start_capacity"]) * age
                 budget = (
-                    birth["fall_multiple"] * able * birth["cores"] * birth["overload_ms"] + birth["slack"]
+                    start["fall_multiple"] * capacity * start["cores"] * start["overload_ms"] + start["slack"]
                 )
-                work = sum(r.entry["work"] for r in window)
+                work = sum(a.entry["work"] for a in window)
                 informed = sum(
-                    r.entry["work"]
-                    for r in window
+                    a.entry["work"]
+                    for a in window
                     if any(
-                        told <= r.at and up >= birth["t"] - 1_000
-                        for told, _, up in listing.get((r.peer, server), [])
+                        notified_at <= a.received_at and up_since >= start["t"] - 1_000
+                        for notified_at, _, up_since in listing.get((a.gateway, server), [])
                     )
                 )
-                worst = max(worst, work / budget)
+                highest_load = max(highest_load, work / budget)
                 if work > budget and informed >= INFORMED * work:
                     verdict.breach(
-                        receipt.at,
-                        request=receipt.entry["try"],
+                        attempt.received_at,
+                        request=attempt.entry["try"],
                         server=server,
-                        what=f"{work:.0f} ms of work in a window, {budget:.0f} ms bearable",
+                        what=f"{work:.0f} ms of work in a window, budget {budget:.0f} ms",
                     )
                     break
-    verdict.notes["nearest"] = round(worst, 3)
+    verdict.details["nearest"] = round(highest_load, 3)
     return verdict
 
 
 # ---- rule 5
 
 
-def ceilings_kept(evidence: Evidence) -> Verdict:
-    """The first send of each try draws its units from the customer's second store, shared by all."""
+def check_ceilings(observations: Observations) -> Verdict:
+    """The first attempt of each try takes its units from the ceiling bucket of its customer.
+
+    The bucket is shared by all gateways, and its level never falls below 0 by more than ceiling_slack.
+    """
     verdict = Verdict("ceilings kept")
-    stores: dict[str, tuple[float, float]] = {}
-    firsts = sorted(
+    buckets: dict[str, tuple[float, float]] = {}
+    first_attempts = sorted(
         (
-            (known.receipts[0].at, known)
-            for known in evidence.tries.values()
-            if known.receipts and not known.let_through
-        ),  # that was the proxy's own deed
+            (client_try.attempts[0].received_at, client_try)
+            for client_try in observations.tries.values()
+            if client_try.attempts and not client_try.failed_open
+        ),  # where a proxy failed open, no gateway decided
         key=lambda first: first[0],
     )
     lowest = 0.0
-    for at, known in firsts:
-        plan = evidence.plans[known.sent["plan"]]
+    for at, client_try in first_attempts:
+        plan = observations.plans[client_try.sent["plan"]]
         if not plan.get("ceiling_rate"):
             continue
-        verdict.looked_at += 1
-        customer, burst = known.sent["customer"], plan["ceiling_burst"]
-        level, since = stores.get(customer, (burst, at))
-        level = min(burst, level + (at - since) / 1000 * plan["ceiling_rate"]) - known.sent["units"]
-        stores[customer] = level, at
+        verdict.examined += 1
+        customer, burst = client_try.sent["customer"], plan["ceiling_burst"]
+        level, since = buckets.get(customer, (burst, at))
+        level = min(burst, level + (at - since) / 1000 * plan["ceiling_rate"]) - client_try.sent["units"]
+        buckets[customer] = level, at
         lowest = min(lowest, level)
         if level < -plan.get("ceiling_slack", 0.0):
-            verdict.breach(at, request=known.name, customer=customer, what=f"{-level:.1f} units below nought")
-    verdict.notes["lowest_level"] = round(lowest, 2)
+            verdict.breach(at, request=client_try.name, customer=customer, what=f"{-level:.1f} units below 0")
+    verdict.details["lowest_level"] = round(lowest, 2)
     return verdict
 
 
-# ---- beyond the five
+# ---- further checks
 
 
-def _in_force(evidence: Evidence) -> dict[str, list[tuple[float, str]]]:
-    """Each customer's plans with the instants from which they are in force."""
+def _plan_changes(observations: Observations) -> dict[str, list[tuple[float, str]]]:
+    """By customer: its plans, each with the time from which it is in force."""
     out: dict[str, list[tuple[float, str]]] = {}
-    for entry in evidence.run:
+    for entry in observations.run_events:
         if entry["what"] == "plan":
             out.setdefault(entry["customer"], []).append((entry["at"], entry["plan"]))
     return out
 
 
-def _between(changes: list[tuple[float, str]], begin: float, end: float) -> set[str]:
-    """The plans in force at some moment between these times."""
+def _plans_between(changes: list[tuple[float, str]], begin: float, end: float) -> set[str]:
+    """The plans that were in force at some time between begin and end."""
     found = {plan for at, plan in changes if begin < at <= end}
     earlier = [plan for at, plan in changes if at <= begin]
     return found | set(earlier[-1:])
 
 
-def only_the_entitled(evidence: Evidence, slack_ms: float) -> Verdict:
-    """Nothing that came with a bad token reaches a server, and what does is booked to its own plan."""
+def check_tokens(observations: Observations, slack_ms: float) -> Verdict:
+    """Requests reach a server only with a valid token, and under the plan of their customer."""
     verdict = Verdict("tokens checked")
-    in_force = _in_force(evidence)
-    for known in evidence.tries.values():
-        verdict.looked_at += 1
-        for receipt in known.receipts:
-            if known.let_through:  # a proxy that fails open asked nobody, and books to nobody's plan
+    plan_changes = _plan_changes(observations)
+    for client_try in observations.tries.values():
+        verdict.examined += 1
+        for attempt in client_try.attempts:
+            if client_try.failed_open:  # the proxy asked no gateway, so the attempt carries no plan
                 continue
-            if known.sent["bad_token"]:
-                verdict.breach(receipt.at, request=known.name, what="sent on with a bad token")
-            elif receipt.entry["plan"] not in (
-                _between(in_force[known.sent["customer"]], known.sent["t"] - slack_ms, receipt.at + slack_ms)
-                if in_force
-                else {known.sent["plan"]}
+            if client_try.sent["bad_token"]:
+                verdict.breach(attempt.received_at, request=client_try.name, what="sent on with a bad token")
+            elif attempt.entry["plan"] not in (
+                _plans_between(
+                    plan_changes[client_try.sent["customer"]],
+                    client_try.sent["t"] - slack_ms,
+                    attempt.received_at + slack_ms,
+                )
+                if plan_changes
+                else {client_try.sent["plan"]}
             ):
-                verdict.breach(receipt.at, request=known.name, what=f"under plan {receipt.entry['plan']}")
+                verdict.breach(
+                    attempt.received_at, request=client_try.name, what=f"under plan {attempt.entry['plan']}"
+                )
     return verdict
 
 
-def settings_agreed(day: Day, evidence: Evidence) -> Verdict:
-    """No instance acts on a version that contradicts a newer one for longer than the window (marks.py)."""
-    window_ms = day.judging.window_ms or day.gateway.get("terms", {}).get("window_ms", Terms().window_ms)
-    found = contradictions(evidence.marks + evidence.run, window_ms)
-    verdict = Verdict("settings agreed", found.looked_at)
+def check_agreed_settings(scenario: Scenario, observations: Observations) -> Verdict:
+    """No instance acts on a version beside a newer, contradicting one for longer than the window."""
+    window_ms = scenario.judging.window_ms or scenario.gateway.get("terms", {}).get(
+        "window_ms", Terms().window_ms
+    )
+    found = find_stale_versions(observations.probes + observations.run_events, window_ms)
+    verdict = Verdict("settings agreed", found.examined)
     for breach in found.breaches:
         verdict.breach(breach.pop("t"), **breach)
-    verdict.notes |= {
-        "contradiction_ms_max": round(found.max_ms, 1),
+    verdict.details |= {
+        "contradiction_ms_max": round(found.max_overlap_ms, 1),
         "window_ms": window_ms,
-        "without_a_lease": found.unled,
-        "spread_ms_max": round(max(found.spread_ms.values(), default=0.0), 1),
-        "versions": len(found.spread_ms),
+        "without_a_lease": found.probes_without_lease,
+        "spread_ms_max": round(max(found.rollout_ms.values(), default=0.0), 1),
+        "versions": len(found.rollout_ms),
     }
     return verdict
 
 
-def valid_keys_accepted(evidence: Evidence) -> Verdict:
-    """No request with a key that is good is turned away for who it is."""
+def check_valid_keys(observations: Observations) -> Verdict:
+    """No request with a valid key is rejected with 401 or 403."""
     verdict = Verdict("good keys accepted")
-    for known in evidence.tries.values():
-        if known.sent["bad_token"]:
+    for client_try in observations.tries.values():
+        if client_try.sent["bad_token"]:
             continue
-        verdict.looked_at += 1
-        for answer in known.answers:
+        verdict.examined += 1
+        for answer in client_try.answers:
             if answer["status"] in (401, 403):
                 verdict.breach(
-                    known.sent["t"],
-                    request=known.name,
-                    customer=known.sent["customer"],
+                    client_try.sent["t"],
+                    request=client_try.name,
+                    customer=client_try.sent["customer"],
                     what=f"answered {answer['status']}",
                 )
     return verdict
 
 
-def counted_under_their_plans(evidence: Evidence, slack_ms: float) -> Verdict:
-    """The counter is added to only under the name of the plan's version in force, reckoned from its own keys.
+def check_counter_plans(observations: Observations, slack_ms: float) -> Verdict:
+    """Units are added to the counter only under the plan version in force, as decoded from the keys.
 
-    A name reads version << 64 | minute << 33 | customer (Gateway.counter_name); customers have the numbers in
-    which the run added them, plans the places in which it defined them.
+    A key is version << 64 | minute << 33 | customer (Gateway.counter_name). Customers are numbered in the
+    order in which the run added them, and versions in the order in which it defined the plans.
     """
     verdict = Verdict("counted under their plans")
-    in_force, places = _in_force(evidence), list(evidence.plans)
-    customers = [e["customer"] for e in evidence.run if e["what"] == "customer"]
-    for entry in evidence.counted:
-        name = int(entry["key"].rpartition(":")[2], 16)
-        verdict.looked_at += 1
-        number, place = name & (1 << 33) - 1, name >> 64
-        if not 0 < number <= len(customers) or place >= len(places):
+    plan_changes, plan_names = _plan_changes(observations), list(observations.plans)
+    customers = [e["customer"] for e in observations.run_events if e["what"] == "customer"]
+    for entry in observations.counter_additions:
+        key = int(entry["key"].rpartition(":")[2], 16)
+        verdict.examined += 1
+        number, plan_index = key & (1 << 33) - 1, key >> 64
+        if not 0 < number <= len(customers) or plan_index >= len(plan_names):
             verdict.breach(entry["t"], key=entry["key"], what="no such customer or plan")
             continue
         customer = customers[number - 1]
-        good = _between(in_force[customer], entry["t"] - slack_ms, entry["t"] + slack_ms)
-        if places[place] not in good:
+        in_force = _plans_between(plan_changes[customer], entry["t"] - slack_ms, entry["t"] + slack_ms)
+        if plan_names[plan_index] not in in_force:
             verdict.breach(
-                entry["t"], customer=customer, what=f"{entry['amount']} added under {places[place]}"
+                entry["t"], customer=customer, what=f"{entry['amount']} added under {plan_names[plan_index]}"
             )
     return verdict
 
 
-def callers_told_the_truth(evidence: Evidence) -> Verdict:
-    """The client library has one try out at a time, says served only of what ran, and calls nothing failed or
-    refused that ran and must not run twice."""
+def check_call_results(observations: Observations) -> Verdict:
+    """The client library reports results that match what ran.
+
+    It has one try open at a time, reports a call as served only if it ran, and reports no call as failed,
+    refused or rejected that ran and must not run twice.
+    """
     verdict = Verdict("callers told the truth")
     calls: dict[int, list[Try]] = {}
-    for known in evidence.tries.values():
-        calls.setdefault(known.sent["call"], []).append(known)
-    for entry in evidence.ended:
-        verdict.looked_at += 1
-        tries = sorted(calls.get(entry["call"], []), key=lambda known: known.sent["t"])
+    for client_try in observations.tries.values():
+        calls.setdefault(client_try.sent["call"], []).append(client_try)
+    for entry in observations.call_results:
+        verdict.examined += 1
+        tries = sorted(calls.get(entry["call"], []), key=lambda client_try: client_try.sent["t"])
         for earlier, later in pairwise(tries):
             end = earlier.answers[0] if earlier.answers else earlier.broken
             if end is None or later.sent["t"] < end["t"]:
-                verdict.breach(later.sent["t"], call=entry["call"], what="two tries out at once")
-        ran = sum(receipt.ran for known in tries for receipt in known.receipts)
-        unsafe = bool(tries) and evidence.classes[tries[0].sent["cls"]].effect == "unsafe"
-        if unsafe and ran and entry["outcome"] in ("failed", "refused", "rejected"):
-            verdict.breach(entry["t"], call=entry["call"], what=f"told {entry['outcome']}, but it ran")
-        keyed = bool(tries) and evidence.classes[tries[0].sent["cls"]].effect == "keyed"
-        if entry["outcome"] == "served" and not ran and not keyed:
-            verdict.breach(entry["t"], call=entry["call"], what="told served, but nothing ran")
+                verdict.breach(later.sent["t"], call=entry["call"], what="two tries open at once")
+        runs = sum(attempt.runs for client_try in tries for attempt in client_try.attempts)
+        unsafe = bool(tries) and observations.classes[tries[0].sent["cls"]].effect == "unsafe"
+        if unsafe and runs and entry["outcome"] in ("failed", "refused", "rejected"):
+            verdict.breach(entry["t"], call=entry["call"], what=f"reported {entry['outcome']}, but it ran")
+        keyed = bool(tries) and observations.classes[tries[0].sent["cls"]].effect == "keyed"
+        if entry["outcome"] == "served" and not runs and not keyed:
+            verdict.breach(entry["t"], call=entry["call"], what="reported served, but nothing ran")
     return verdict
--- a/tamarindfold/rehearsal/keepers.py
+++ b/tamarindfold/rehearsal/keepers.py
@@ -1,4 +1,4 @@
-"""Keepers and the links to them, for days and tests: started, spoilt, killed, wiped, asked by an operator."""
+"""The keepers of a run and the links to them: processes, link and disk faults, and operator requests."""
 
 from __future__ import annotations
 
@@ -22,35 +22,40 @@
 from tamarindfold.agreement.state import State, decode
 from tamarindfold.config.addresses import split_address
 from tamarindfold.identity.files import create_key_pair, private_path, public_path, signing_key
-from tamarindfold.rehearsal.day import fits
 from tamarindfold.rehearsal.processes import Program
 from tamarindfold.rehearsal.relay import LinkFault, Relay
+from tamarindfold.rehearsal.scenario import matches_process
 from tamarindfold.standins.ledger import Ledger
 
-STOP_LOOK_S = 0.001
-SMALL_DISK = 64  # bytes that a file may grow to on a full disk: fewer than any has
+SUSPEND_POLL_S = 0.001
+FULL_DISK_FILE_BYTES = 64  # limit on file sizes on a full disk; every file of a keeper is already larger
 
 
 def free_port() -> int:
-    """A port that nobody has at this moment."""
+    """A port that is free at the moment."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
         return port
 
 
-def marked(document: dict[str, Any], version: int) -> dict[str, Any]:
-    """A version that shows from outside which one it is: by a route of its own, under a lease only."""
-    made = copy.deepcopy(document)
-    made["routes"] = [
-        *made["routes"],
-        {"method": "GET", "path": f"/mark/{version}", "class": made["classes"][0]["name"], "led_only": True},
+def with_marker_route(document: dict[str, Any], version: int) -> dict[str, Any]:
+    """The document with a marker route, which shows from outside that an instance with a lease acts on it."""
+    marked = copy.deepcopy(document)
+    marked["routes"] = [
+        *marked["routes"],
+        {
+            "method": "GET",
+            "path": f"/mark/{version}",
+            "class": marked["classes"][0]["name"],
+            "led_only": True,
+        },
     ]
-    return made
+    return marked
 
 
-class KeeperFleet:
-    """The keepers of one run. ledger: the history of what was done to whom, and when."""
+class KeeperGroup:
+    """The keepers of one run. All faults and proposals are noted in the ledger, with their times."""
 
     def __init__(
         self,
@@ -63,8 +68,11 @@
         skews: dict[str, tuple[float, float]] | None = None,
         faulty: dict[str, str] | None = None,
     ) -> None:
-        """skews: by process, how far its wall clock is ahead (ms) and by what part its clocks run faster;
-        faulty: by process, a fault planted in it (modelcheck.planted)."""
+        """Create keys, configurations and links; `start` starts the processes.
+
+        skews: by process, the offset of its wall clock in ms and the drift ratio of its clocks. faulty: by
+        process, a planted fault (modelcheck.planted).
+        """
         self.out, self.clock, self.ledger, self.seed = out, clock, ledger, seed
         self.count, self.instances = keepers, instances
         self.skews, self.faulty = skews or {}, faulty or {}
@@ -76,9 +84,9 @@
         for k, address in enumerate(self.addresses):
             near = [f"keeper {other}" for other in range(keepers) if other != k]
             near += [f"instance {i}" for i in range(instances)]
-            for who in near:
-                name = f"{who} > keeper {k}"
-                self.relays[who, f"keeper {k}"] = Relay(
+            for process in near:
+                name = f"{process} > keeper {k}"
+                self.relays[process, f"keeper {k}"] = Relay(
                     name,
                     split_address(address, "keeper"),
                     clock,
@@ -86,33 +94,34 @@
                     ledger.record,
                     f"127.3.{k}.{len(self.relays) % 250 + 1}",
                 )
-        self.programs = [self._keeper(k) for k in range(keepers)]
+        self.programs = [self._keeper_program(k) for k in range(keepers)]
         self.key = signing_key(private_path(out / "state" / "fleet"))
         self.operator = OperatorClient([split_address(a, "keeper") for a in self.addresses], self.key)
 
     # ---- processes
 
-    def words(self, who: str, words: list[str]) -> Program:
-        """A program of this run, with a clock of its own where it has one."""
-        return self.program(who, words, self.out / "logs" / f"{who.replace(' ', '-')}.log")
-
-    def program(self, who: str, words: list[str], log: Path) -> Program:
-        """The same with a log of another name."""
-        program = Program(who, words, log)
-        if who in self.skews:
-            program.module = ("tamarindfold.rehearsal.skewed", *map(str, self.skews[who]))
-        if who in self.faulty:
-            program.module = ("tamarindfold.rehearsal.faulty", self.faulty[who])
+    def create_program(self, process: str, arguments: list[str]) -> Program:
+        """A program of this run, with the skewed clock or the planted fault of its process, if any."""
+        log = self.out / "logs" / f"{process.replace(' ', '-')}.log"
+        return self.create_program_with_log(process, arguments, log)
+
+    def create_program_with_log(self, process: str, arguments: list[str], log: Path) -> Program:
+        """As create_program, with another log file."""
+        program = Program(process, arguments, log)
+        if process in self.skews:
+            program.module = ("tamarindfold.rehearsal.skewed", *map(str, self.skews[process]))
+        if process in self.faulty:
+            program.module = ("tamarindfold.rehearsal.faulty", self.faulty[process])
         return program
 
-    def folder(self, keeper: int) -> Path:
-        """A keeper's disk."""
+    def state_folder(self, keeper: int) -> Path:
+        """The folder with a keeper's durable state."""
         return self.out / "state" / f"keeper-{keeper}"
 
-    def _keeper(self, k: int) -> Program:
-        who = f"keeper {k}"
+    def _keeper_program(self, k: int) -> Program:
+        process = f"keeper {k}"
         peers = [
-            self.addresses[k] if other == k else self.relays[who, f"keeper {other}"].address
+            self.addresses[k] if other == k else self.relays[process, f"keeper {other}"].address
             for other in range(self.count)
         ]
         file = self.out / "config" / f"keeper-{k}.yaml"
@@ -121,16 +130,16 @@
                 {
                     "me": k,
                     "keepers": peers,
-                    "state_dir": str(self.folder(k)),
+                    "state_dir": str(self.state_folder(k)),
                     "seed": self.seed + k,
                     "key": str(private_path(self.out / "state" / "fleet")),
                 }
             )
         )
-        return self.words(who, ["keeper", str(file)])
+        return self.create_program(process, ["keeper", str(file)])
 
-    def section(self, i: int, name: str) -> dict[str, Any]:
-        """What an instance's file says of the agreement."""
+    def agreement_section(self, i: int, name: str) -> dict[str, Any]:
+        """The section `agreement` of an instance's configuration file."""
         return {
             "keepers": [self.relays[f"instance {i}", f"keeper {k}"].address for k in range(self.count)],
             "public_key": str(public_path(self.out / "state" / "fleet")),
@@ -140,49 +149,51 @@
     def start(self) -> None:
         """Start all keepers and wait until one leads."""
         gevent.joinall([gevent.spawn(p.start) for p in self.programs], raise_error=True)
-        self.until(lambda: self.leader() >= 0)
+        self.wait_until(lambda: self.leader() >= 0)
 
     def stop(self) -> None:
-        """End everything."""
+        """Kill all keepers and close all links."""
         for program in self.programs:
             program.signal(signal.SIGCONT)
             program.kill()
         for relay in self.relays.values():
             relay.stop()
 
-    def until(self, condition: Callable[[], Any], seconds: float = 30.0) -> None:
-        """Wait until it holds; how long that takes decides nothing but when a hopeless wait ends."""
-        with gevent.Timeout(seconds, AssertionError("waited in vain")):
+    def wait_until(self, condition: Callable[[], Any], timeout_s: float = 30.0) -> None:
+        """Wait until a condition holds; AssertionError on time-out. No verdict depends on the duration."""
+        with gevent.Timeout(timeout_s, AssertionError(f"condition not met within {timeout_s:g} s")):
             while not condition():
                 gevent.sleep(0.01)
 
-    # ---- the operator
+    # ---- operator requests
 
     def _call(self, call: Callable[..., Any], *args: Any) -> Any:
-        """An operator's call uses plain sockets: in a thread, so that the relays go on."""
+        """Run a blocking operator request in a thread, so that the relays go on meanwhile."""
         return gevent.get_hub().threadpool.apply(call, args)
 
-    def look(self) -> State | None:
-        """What the keeper sees that knows most; None where none answers."""
+    def read_state(self) -> State | None:
+        """The most recent state that a keeper reports; None if no keeper answers."""
         try:
             return decode(self._call(self.operator.status).state)
         except NoAnswer:
             return None
 
-    def voting(self) -> set[int]:
-        """Which keepers answer an operator, and have heard what they need before they may vote."""
+    def voting_keepers(self) -> set[int]:
+        """The keepers that answer and have recovered, so that they may vote."""
         try:
-            return {look.keeper for look in self._call(self.operator.statuses) if look.recovered}
+            return {status.keeper for status in self._call(self.operator.statuses) if status.recovered}
         except NoAnswer:
             return set()
 
     def leader(self) -> int:
-        """Which keeper leads, by its own word; -1: none."""
+        """The keeper that reports itself as the leader; -1 if there is none."""
         try:
-            looks = self._call(self.operator.statuses)
+            statuses = self._call(self.operator.statuses)
         except NoAnswer:
             return -1
-        return next((look.keeper for look in looks if look.leader == look.keeper and look.recovered), -1)
+        return next(
+            (status.keeper for status in statuses if status.leader == status.keeper and status.recovered), -1
+        )
 
     def propose(
         self,
@@ -190,55 +201,70 @@
         base: int | None = None,
         token: str = "",
         author: str = "rehearsal",
-        seconds: float = 20.0,
-        first: tuple[str, ...] = (),
+        timeout_s: float = 20.0,
+        canaries: tuple[str, ...] = (),
     ) -> wire.OperatorReply:
-        """Propose a version with a mark of its own; NoAnswer where nothing is known of what came of it."""
+        """Propose a version with its marker route; NoAnswer if the outcome is unknown."""
         if base is None:
-            state = self.look()
+            state = self.read_state()
             base = state.newest if state is not None else 0
-        made = msgspec.convert(marked(document, base + 1), Document)
-        check(made)
-        body = wire.Proposal(made, base, author, "a day's event", token or uuid.uuid4().hex, first)
+        marked = msgspec.convert(with_marker_route(document, base + 1), Document)
+        check(marked)
+        proposal = wire.Proposal(
+            marked, base, author, "a scenario's event", token or uuid.uuid4().hex, canaries
+        )
         began = self.clock()
-        self.ledger.record(began, "propose", base=base, token=body.token)
-        told = self.say(body, seconds)
+        self.ledger.record(began, "propose", base=base, token=proposal.token)
+        reply = self.send(proposal, timeout_s)
         self.ledger.record(
-            self.clock(), "proposed", version=told.version, reason=told.reason, token=body.token, began=began
+            self.clock(),
+            "proposed",
+            version=reply.version,
+            reason=reply.reason,
+            token=proposal.token,
+            began=began,
         )
-        return told
-
-    def say(self, what: wire.Proposal | wire.OperatorCommand, seconds: float = 20.0) -> wire.OperatorReply:
-        """A proposal or a command as it stands."""
-        told: wire.OperatorReply = self._call(self.operator.send, what, seconds)
-        return told
+        return reply
 
-    def tell(self, what: str, version: int = 0, name: str = "") -> wire.OperatorReply:
-        """An operator's command."""
-        return self.say(wire.OperatorCommand(what, version, name, "rehearsal"))
-
-    def in_force(self, version: int, seconds: float = 30.0) -> None:
-        """Wait until a version is in force."""
-        self.until(lambda: (state := self.look()) is not None and state.version >= version, seconds)
+    def send(
+        self, request: wire.Proposal | wire.OperatorCommand, timeout_s: float = 20.0
+    ) -> wire.OperatorReply:
+        """Send a proposal or a command unchanged."""
+        reply: wire.OperatorReply = self._call(self.operator.send, request, timeout_s)
+        return reply
+
+    def command(self, action: str, version: int = 0, name: str = "") -> wire.OperatorReply:
+        """Send an operator's command."""
+        return self.send(wire.OperatorCommand(action, version, name, "rehearsal"))
+
+    def wait_in_force(self, version: int, timeout_s: float = 30.0) -> None:
+        """Wait until a version or a newer one is in force."""
+        self.wait_until(
+            lambda: (state := self.read_state()) is not None and state.version >= version, timeout_s
+        )
 
     # ---- faults
 
     def links(self, near: str, far: str) -> list[Relay]:
-        """The links between these; `*` in place of a number stands for all."""
-        return [relay for (a, b), relay in self.relays.items() if fits(near, a) and fits(far, b)]
+        """The links from near to far; `*` in place of a number matches all."""
+        return [
+            relay
+            for (a, b), relay in self.relays.items()
+            if matches_process(near, a) and matches_process(far, b)
+        ]
 
-    def spoil(self, near: str, far: str, fault: LinkFault) -> None:
-        """Spoil the links from near to far."""
+    def inject(self, near: str, far: str, fault: LinkFault) -> None:
+        """Inject a fault into the links from near to far."""
         for relay in self.links(near, far):
-            relay.spoil(fault)
+            relay.inject(fault)
 
-    def cut_off(self, who: str, way: str = "both", for_ms: float = 0.0) -> None:
-        """No keeper hears of it (there), or it of none (back), or neither."""
+    def isolate(self, process: str, way: str = "both", for_ms: float = 0.0) -> None:
+        """Cut the links between a process and the keepers: from it (there), to it (back), or both."""
         fault = msgspec.convert({"kind": "cut", "way": way, "for_ms": for_ms}, LinkFault)
-        self.spoil(who, "*", fault)
-        if who.startswith("keeper"):
-            other = {"there": "back", "back": "there"}.get(way, "both")
-            self.spoil("*", who, msgspec.structs.replace(fault, way=other))
+        self.inject(process, "*", fault)
+        if process.startswith("keeper"):
+            opposite = {"there": "back", "back": "there"}.get(way, "both")
+            self.inject("*", process, msgspec.structs.replace(fault, way=opposite))
 
     def heal(self, near: str = "*", far: str = "*") -> None:
         """End the faults of these links."""
@@ -246,44 +272,44 @@
             relay.heal()
 
     def kill(self, keeper: int, wipe: bool = False) -> None:
-        """End a keeper at once; wipe: its disk goes with it."""
+        """Kill a keeper; wipe: also delete its durable state."""
         self.programs[keeper].kill()
         if wipe:
-            shutil.rmtree(self.folder(keeper), ignore_errors=True)
+            shutil.rmtree(self.state_folder(keeper), ignore_errors=True)
         self.ledger.record(self.clock(), "keeper_down", index=keeper, wiped=wipe)
 
     def save_disk(self, keeper: int) -> Path:
-        """A copy of a keeper's disk as it is now, for another day."""
+        """Copy a keeper's current durable state, for restore_disk."""
         target = self.out / "state" / f"old-{keeper}-{uuid.uuid4().hex}"
-        shutil.copytree(self.folder(keeper), target)
+        shutil.copytree(self.state_folder(keeper), target)
         return target
 
     def restore_disk(self, keeper: int, saved: Path) -> None:
-        """Put an older disk in place of a keeper's, which must not run."""
-        shutil.rmtree(self.folder(keeper), ignore_errors=True)
-        shutil.copytree(saved, self.folder(keeper))
+        """Replace the durable state of a keeper, which must not run, by an older copy."""
+        shutil.rmtree(self.state_folder(keeper), ignore_errors=True)
+        shutil.copytree(saved, self.state_folder(keeper))
 
     def restart(self, keepers: Iterable[int]) -> None:
-        """Start keepers that were ended."""
+        """Start killed keepers again."""
         gevent.joinall([gevent.spawn(self.programs[k].start) for k in keepers], raise_error=True)
         for k in keepers:
             self.ledger.record(self.clock(), "keeper_up", index=k)
 
     def fill_disk(self, keeper: int, full: bool) -> None:
-        """Let no file of a keeper grow any more, or let them again."""
+        """Make a keeper's writes fail as on a full disk (by a limit on file sizes), or lift the limit."""
         child = self.programs[keeper].child
         assert child is not None
-        most = SMALL_DISK if full else resource.RLIM_INFINITY
-        resource.prlimit(child.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
+        max_bytes = FULL_DISK_FILE_BYTES if full else resource.RLIM_INFINITY
+        resource.prlimit(child.pid, resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY))
         self.ledger.record(self.clock(), "disk", index=keeper, full=full)
 
 
-def halt(program: Program) -> None:
-    """Stop a process and wait until it stands still."""
+def suspend(program: Program) -> None:
+    """Stop a process (SIGSTOP) and wait until the kernel reports it as stopped."""
     assert program.child is not None
     os.kill(program.child.pid, signal.SIGSTOP)
     while True:
         stat = Path(f"/proc/{program.child.pid}/stat").read_text()
         if stat.rpartition(")")[2].split()[0] == "T":
             return
-        gevent.sleep(STOP_LOOK_S)
+        gevent.sleep(SUSPEND_POLL_S)
--- a/tamarindfold/rehearsal/relay.py
+++ b/tamarindfold/rehearsal/relay.py
@@ -1,9 +1,16 @@
-"""A link between two processes that can be spoilt: a listener on an address of its own that passes bytes on.
+"""A link between two processes with injectable faults: a TCP relay that listens on an address of its own.
 
-Faults, each for one way or both: `cut` (nothing passes, nobody is told; what was sent meanwhile is lost, so a
-connection that sent something ends when the cut does), `stall` (nothing passes, all of it comes later),
-`delay`, `throttle`, `reset` (every connection, once), `half_open` (the far side ends, the near one hears
-nothing), `refuse` (no new connections). They add up, each ends by itself or with `heal`.
+Faults, each for one direction or both:
+
+- `cut`: nothing passes, and neither side is notified. Bytes sent meanwhile are lost, so a connection that
+  lost some ends when the cut does.
+- `stall`: nothing passes, and everything is delivered later.
+- `delay`, `throttle`: bytes pass later, or at a limited rate.
+- `reset`: all current connections are reset.
+- `half_open`: the far side of all current connections is reset, and the near side is not notified.
+- `refuse`: no new connections.
+
+Faults add up; each ends after its time or with `heal`.
 """
 
 from __future__ import annotations
@@ -23,14 +30,18 @@
 from tamarindfold.standins.base import reset
 
 KINDS = ("cut", "stall", "delay", "throttle", "reset", "half_open", "refuse")
-LOOK_S = 0.002
-CHUNK = 65_536
-MOST_HELD = 4 << 20  # bytes on their way in one direction; beyond that the sender has to wait
+POLL_S = 0.002
+CHUNK_BYTES = 65_536
+MAX_BUFFERED_BYTES = 4 << 20  # in transit in one direction; beyond that the relay stops reading
 Way = Literal["both", "there", "back"]
 
 
 class LinkFault(Section, frozen=True):
-    """What is wrong with a link; for_ms 0: until it heals. there: from who connects to who is reached."""
+    """A fault of a link.
+
+    way: there is from the connecting side (near) to the listening side (far), back the opposite. for_ms: 0
+    means until it is healed.
+    """
 
     kind: Literal["cut", "stall", "delay", "throttle", "reset", "half_open", "refuse"]
     way: Way = "both"
@@ -41,7 +52,7 @@
 
 
 class Relay:
-    """One link. clock: milliseconds; note: told of each fault with the time at which it began and ends."""
+    """One link. clock: in milliseconds. note: called with each fault, its time and its duration."""
 
     def __init__(
         self,
@@ -65,19 +76,19 @@
 
     @property
     def address(self) -> str:
-        """Where the near side connects to."""
+        """The address that the near side connects to."""
         return f"{self.server.server_host}:{self.server.server_port}"
 
     def stop(self) -> None:
-        """Close it all."""
+        """Close the listener and all connections."""
         self.server.close()
         for connection in list(self.connections):
             connection.end()
 
     # ---- faults
 
-    def spoil(self, fault: LinkFault) -> None:
-        """Begin a fault."""
+    def inject(self, fault: LinkFault) -> None:
+        """Start a fault."""
         now = self.clock()
         until = now + fault.for_ms if fault.for_ms else math.inf
         self.note(now, "link", link=self.name, kind=fault.kind, way=fault.way, for_ms=fault.for_ms)
@@ -87,7 +98,7 @@
             return
         if fault.kind == "half_open":
             for connection in list(self.connections):
-                connection.leave_open()
+                connection.make_half_open()
             return
         self.faults.append((fault, until))
         self._signal()
@@ -103,7 +114,7 @@
         self.changed.clear()
 
     def active(self, kind: str, way: str) -> LinkFault | None:
-        """The fault of this kind that concerns this way now."""
+        """The current fault of this kind in this direction, if any."""
         now = self.clock()
         self.faults = [(fault, until) for fault, until in self.faults if now < until]
         return next((f for f, _ in self.faults if f.kind == kind and f.way in (way, "both")), None)
@@ -125,19 +136,19 @@
 
 
 class _Connection:
-    """One connection through a relay, and the other that it stands for."""
+    """An accepted connection (near) and the relay's own connection to the target (far)."""
 
     def __init__(self, relay: Relay, near: socket.socket) -> None:
         self.relay, self.near = relay, near
         self.far: socket.socket | None = None
-        self.holed = False  # something was lost of it: it can't go on once bytes pass again
-        self.open_only = False
+        self.lost_bytes = False  # the connection is reset once bytes would pass again
+        self.half_open = False
         self.done = Event()
 
     def run(self) -> None:
         relay = self.relay
         while relay.active("cut", "there") or relay.active("stall", "there"):
-            gevent.sleep(LOOK_S)  # the far side never hears of a connection that is made meanwhile
+            gevent.sleep(POLL_S)  # a connection made meanwhile does not reach the far side
             if self.done.is_set():
                 return
         try:
@@ -148,78 +159,80 @@
         for sock in (self.near, self.far):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.settimeout(None)
-        pumps = [
-            gevent.spawn(self._pump, self.near, self.far, "there"),
-            gevent.spawn(self._pump, self.far, self.near, "back"),
+        forwarders = [
+            gevent.spawn(self._forward, self.near, self.far, "there"),
+            gevent.spawn(self._forward, self.far, self.near, "back"),
         ]
         try:
             self.done.wait()
         finally:
-            gevent.killall(pumps)
+            gevent.killall(forwarders)
             for sock in (self.near, self.far):
                 sock.close()
 
     def end(self, with_reset: bool = False) -> None:
-        """End it for both sides."""
+        """End the connection on both sides."""
         if with_reset:
             for sock in (self.near, self.far):
                 if sock is not None:
                     reset(sock)
         self.done.set()
 
-    def leave_open(self) -> None:
-        """The far side ends; the near one is told nothing, and what it sends goes nowhere."""
-        self.open_only = True
+    def make_half_open(self) -> None:
+        """Reset the far side without notifying the near one; bytes that the near side sends are dropped."""
+        self.half_open = True
         if self.far is not None:
             reset(self.far)
 
-    def _pump(self, source: socket.socket, sink: socket.socket, way: str) -> None:
-        """Pass on what comes one way, as the faults of the moment allow."""
-        held: deque[tuple[float, bytes]] = deque()
+    def _forward(self, source: socket.socket, sink: socket.socket, way: str) -> None:
+        """Forward bytes in one direction, as far as the current faults allow."""
+        buffered: deque[tuple[float, bytes]] = deque()
         more = Event()
-        writer = gevent.spawn(self._write, sink, way, held, more)
+        writer = gevent.spawn(self._write, sink, way, buffered, more)
         try:
-            while data := source.recv(CHUNK):
-                if self.relay.active("cut", way) or self.open_only:
-                    self.holed = True
+            while data := source.recv(CHUNK_BYTES):
+                if self.relay.active("cut", way) or self.half_open:
+                    self.lost_bytes = True
                     continue
                 fault = self.relay.active("delay", way)
                 wait_ms = fault.delay_ms + self.relay.random.random() * fault.jitter_ms if fault else 0.0
-                due = max(self.relay.clock() + wait_ms, held[-1][0] if held else 0.0)
-                held.append((due, data))
+                due = max(self.relay.clock() + wait_ms, buffered[-1][0] if buffered else 0.0)
+                buffered.append((due, data))
                 more.set()
-                while sum(len(part) for _, part in held) > MOST_HELD:
-                    gevent.sleep(LOOK_S)
-            while held and not self.done.is_set():
-                gevent.sleep(LOOK_S)
+                while sum(len(part) for _, part in buffered) > MAX_BUFFERED_BYTES:
+                    gevent.sleep(POLL_S)
+            while buffered and not self.done.is_set():
+                gevent.sleep(POLL_S)
         except OSError:
             pass
         finally:
             writer.kill()
-        if not self.open_only and not self.relay.active("cut", way):
+        if not self.half_open and not self.relay.active("cut", way):
             self.done.set()
-        elif not self.open_only:  # the end is not told while nothing passes
+        elif not self.half_open:  # during a cut the end of the connection is not passed on
             while self.relay.active("cut", way):
-                gevent.sleep(LOOK_S)
+                gevent.sleep(POLL_S)
             self.done.set()
 
-    def _write(self, sink: socket.socket, way: str, held: deque[tuple[float, bytes]], more: Event) -> None:
+    def _write(
+        self, sink: socket.socket, way: str, buffered: deque[tuple[float, bytes]], more: Event
+    ) -> None:
         relay = self.relay
         while True:
-            if not held:
+            if not buffered:
                 more.wait()
                 more.clear()
                 continue
-            due, data = held[0]
+            due, data = buffered[0]
             if (wait := due - relay.clock()) > 0:
                 gevent.sleep(wait / 1000)
             while relay.active("stall", way):
-                gevent.sleep(LOOK_S)
-            if relay.active("cut", way) or self.open_only:
-                self.holed = True
-                held.popleft()
+                gevent.sleep(POLL_S)
+            if relay.active("cut", way) or self.half_open:
+                self.lost_bytes = True
+                buffered.popleft()
                 continue
-            if self.holed:
+            if self.lost_bytes:
                 self.end(True)
                 return
             if (fault := relay.active("throttle", way)) is not None:
@@ -229,4 +242,4 @@
             except OSError:
                 self.done.set()
                 return
-            held.popleft()
+            buffered.popleft()
--- a/tamarindfold/rehearsal/run.py
+++ b/tamarindfold/rehearsal/run.py
@@ -1,4 +1,4 @@
-"""A whole day: fleet up, load and events, fleet down, verdict."""
+"""A complete run: starts the fleet, drives load and events, stops the fleet, and judges what was recorded."""
 
 from __future__ import annotations
 
@@ -10,57 +10,59 @@
 import gevent
 import msgspec
 
-from tamarindfold.rehearsal import page, report
-from tamarindfold.rehearsal.day import Day, Event
-from tamarindfold.rehearsal.evidence import collect
+from tamarindfold.rehearsal import html_report, report
 from tamarindfold.rehearsal.fleet import RunningFleet
 from tamarindfold.rehearsal.judge import judge
-from tamarindfold.rehearsal.load import Load
+from tamarindfold.rehearsal.load import LoadGenerator
+from tamarindfold.rehearsal.observations import load_observations
+from tamarindfold.rehearsal.scenario import Scenario, ScenarioEvent
 
 
-def play(day: Day, out: Path, say: Callable[[str], None]) -> dict[str, Any]:
-    """Run the day; the report, which also stands in report.json. Leaves no process behind."""
+def run_scenario(scenario: Scenario, out: Path, print_line: Callable[[str], None]) -> dict[str, Any]:
+    """Run a scenario and return its report, which is also written to report.json. All processes are ended."""
     out.mkdir(parents=True, exist_ok=True)
     for old in (out / "ledgers").glob("*.jsonl"):
         old.unlink()
     shutil.rmtree(out / "state", ignore_errors=True)
-    fleet = RunningFleet(day, out)
-    fleet.gateway_config(0)  # a bad configuration is told before anything is started
+    fleet = RunningFleet(scenario, out)
+    fleet.gateway_config(0)  # reports an invalid configuration before any process is started
     try:
         fleet.start()
-        say(
+        print_line(
             f"{len(fleet.gateways)} gateways, {len(fleet.servers)} servers up; "
-            f"{day.duration_ms / 1000:g} s to play"
+            f"running for {scenario.duration_ms / 1000:g} s"
         )
-        load = Load(day, fleet)
+        load = LoadGenerator(scenario, fleet)
         began = fleet.clock()
 
-        def happen(event: Event) -> None:
-            whom = event.target or event.customers or "all"
+        def apply_event(event: ScenarioEvent) -> None:
+            target = event.target or event.customers or "all"
             fault = event.fault.kind if event.fault else ""
-            say(f"{(fleet.clock() - began) / 1000:5.1f} s  {event.do} {whom} {fault}".rstrip())
+            print_line(f"{(fleet.clock() - began) / 1000:5.1f} s  {event.do} {target} {fault}".rstrip())
             if event.do == "surge":
                 load.surge(event)
             else:
-                fleet.happen(event)
+                fleet.apply_event(event)
 
-        events = [gevent.spawn_later(event.at_ms / 1000, happen, event) for event in day.events]
+        events = [gevent.spawn_later(event.at_ms / 1000, apply_event, event) for event in scenario.events]
         load.run()
         gevent.joinall(events, raise_error=True)
         exits = fleet.stop()
-        fleet.ledger.record(fleet.clock(), "end", exits=exits, not_sent=load.skipped)
+        fleet.ledger.record(fleet.clock(), "end", exits=exits, not_sent=load.skipped_calls)
     finally:
         fleet.stop()
-    return verdict(day, out)
+    return judge_run(scenario, out)
 
 
-def verdict(day: Day, out: Path) -> dict[str, Any]:
-    """Judge the ledgers that a run left, and write report.json; ValueError where the run did not end."""
-    evidence = collect(day, out)
-    end = next((entry for entry in evidence.run if entry["what"] == "end"), None)
+def judge_run(scenario: Scenario, out: Path) -> dict[str, Any]:
+    """Judge a run by its ledgers, and write report.json and report.html; ValueError if it did not finish."""
+    observations = load_observations(scenario, out)
+    end = next((entry for entry in observations.run_events if entry["what"] == "end"), None)
     if end is None:
-        raise ValueError("the run did not come to its end")
-    made = report.make(day, evidence, judge(day, evidence), end["exits"], end["not_sent"])
-    (out / "report.json").write_bytes(msgspec.json.format(msgspec.json.encode(made), indent=2))
-    (out / "report.html").write_text(page.make(made, evidence), encoding="utf-8")
-    return made
+        raise ValueError("the run did not finish: its ledger has no entry 'end'")
+    result = report.build_report(
+        scenario, observations, judge(scenario, observations), end["exits"], end["not_sent"]
+    )
+    (out / "report.json").write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=2))
+    (out / "report.html").write_text(html_report.render(result, observations), encoding="utf-8")
+    return result
--- a/tamarindfold/rehearsal/skewed.py
+++ b/tamarindfold/rehearsal/skewed.py
@@ -1,7 +1,8 @@
-"""The command with a clock of its own: `python -m tamarindfold.rehearsal.skewed OFFSET_MS DRIFT WORDS...`
+"""The command with a skewed clock: `python -m tamarindfold.rehearsal.skewed OFFSET_MS DRIFT ARGUMENTS...`
 
-The wall clock is OFFSET_MS ahead; wall and monotonic clock run DRIFT faster (0.01: by a hundredth). SIGUSR2
-steps the wall clock by STEP_MS. The program knows nothing of it: only the two functions it asks are others.
+The wall clock is OFFSET_MS ahead. Wall clock and monotonic clock run faster by the ratio DRIFT (0.01: 1 %).
+SIGUSR2 steps the wall clock by STEP_MS. The program is unchanged: only `time.time` and `time.monotonic` are
+replaced.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 
 
 def skew(offset_ms: float, drift: float) -> None:
-    """From here on, for all that asks after the time."""
+    """Replace the clocks of this process."""
     monotonic, wall = time.monotonic, time.time
     began, began_wall = monotonic(), wall()
     ahead = [offset_ms / 1000]
 
-    def gone() -> float:
+    def elapsed() -> float:
         return (monotonic() - began) * (1 + drift)
 
     def skewed_time() -> float:
-        return began_wall + ahead[0] + gone()
+        return began_wall + ahead[0] + elapsed()
 
     def skewed_monotonic() -> float:
-        return began + gone()
+        return began + elapsed()
 
     def step(_number: int, _frame: object) -> None:
         ahead[0] += STEP_MS / 1000
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -1,4 +1,4 @@
-"""The forward-auth front asked by the stand-in proxies, with their quirks; who else speaks HTTP; the judge."""
+"""The forward-auth front with stand-in proxies, their faults and other HTTP clients; and the judge with proxies."""
 
 from __future__ import annotations
 
@@ -17,21 +17,20 @@
 import requests
 from gevent import socket
 from rig import CLASSES, Rig, read_answer, request, wait_for
-from test_judge import CAPPED, broken
-from test_judge import day as judged_day
+from test_judge import CAPPED, broken_rules, scenario
 
 from tamarindfold.choice import Gateway
 from tamarindfold.interface import Count, ExternalUse
 from tamarindfold.membership.feed import ServerLine
-from tamarindfold.rehearsal.evidence import join
 from tamarindfold.rehearsal.judge import judge
-from tamarindfold.rehearsal.load import Load, _Call
+from tamarindfold.rehearsal.load import LoadGenerator, _Call
+from tamarindfold.rehearsal.observations import join_ledgers
 from tamarindfold.standins.base import Fault
 from tamarindfold.standins.proxy import ProxyConfig, ProxyServer
 
 
 class Proxied:
-    """A rig, a proxy before it, and clients of the proxy."""
+    """A rig with a proxy in front of it, and clients that connect to the proxy."""
 
     def __init__(self, r: Rig, kind: str, faults: list[Fault], **config: Any) -> None:
         self.r = r
@@ -53,7 +52,7 @@
             )
         )
         self.proxy.start()
-        gevent.sleep(0)  # the faults begin
+        gevent.sleep(0)  # let the faults start
         self.sub_requests = 0
 
     @property
@@ -96,7 +95,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_each_proxy_asks_sends_and_reports(proxied, kind) -> None:
+def test_each_proxy_sends_sub_request_attempt_and_report(proxied, kind) -> None:
     p = proxied(kind)
     assert (p.ask().status, p.ask("/switches", "POST", body=b"{}").status) == (200, 200)
     wait_for(lambda: p.permits["settled"] == 2)
@@ -106,7 +105,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_refusals_reach_the_client_as_each_proxy_passes_them(proxied, kind) -> None:
+def test_refusals_reach_the_client_through_each_proxy(proxied, kind) -> None:
     p = proxied(kind)
     assert p.ask(token="bad").status == 401 and p.ask(token="bad").headers.get("www-authenticate")
     assert p.ask("/switches", "POST", token="noscope").status == 403
@@ -118,7 +117,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_the_body_that_is_announced_and_dropped_is_not_waited_for(proxied, kind) -> None:
+def test_announced_body_that_never_comes_is_not_waited_for(proxied, kind) -> None:
     p = proxied(kind, "body_announced", limits={"body_timeout_ms": 60_000}, forward={"body_ms": 5})
     assert p.ask("/switches", "POST", body=b"x" * 500).status == 200
     assert p.r.ingress.forward_front.counts["bodies_not_come"] == 1
@@ -126,7 +125,7 @@
 
 
 @pytest.mark.parametrize("kind", ["nginx", "envoy"])
-def test_headers_joined(proxied, kind) -> None:
+def test_joined_authorization_headers_are_rejected(proxied, kind) -> None:
     p = proxied(kind, "headers_joined")
     answer = p.ask(accept="a")
     assert answer.status == 200
@@ -135,11 +134,11 @@
     sock.sendall(
         b"GET /quotes HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer good\r\nAuthorization: Bearer other\r\n\r\n"
     )
-    assert read_answer(sock).status in (400, 401)  # two credentials in one line are none
+    assert read_answer(sock).status in (400, 401)  # two credentials in one header field are invalid
     assert p.r.ingress.core.counts["arrived"] == 1
 
 
-def test_two_authorization_headers_are_none(proxied) -> None:
+def test_two_authorization_headers_are_rejected(proxied) -> None:
     p = proxied()
     host, port = p.gateway.split(":")
     sock = socket.create_connection((host, int(port)), timeout=10, source_address=("127.0.2.1", 0))
@@ -151,7 +150,7 @@
     assert read_answer(sock).status == 400 and p.r.ingress.core.counts["arrived"] == 0
 
 
-def test_the_sub_request_sent_twice_is_counted_once(proxied) -> None:
+def test_repeated_sub_request_is_counted_once(proxied) -> None:
     p = proxied("traefik", "ask_twice", counter=True, plans=[{"name": "open", "rate": 1, "burst": 1000}])
     assert [p.ask().status for _ in range(20)] == [200] * 20
     wait_for(lambda: p.permits["settled"] == 20)
@@ -159,7 +158,7 @@
     assert p.r.ingress.core.counts["arrived"] == 20 and len(p.r.entries("received")) == 20
 
 
-def test_asked_twice_while_the_token_is_looked_up_one_decision_is_made(proxied) -> None:
+def test_repeated_sub_request_during_introspection_leads_to_one_decision(proxied) -> None:
     p = proxied("traefik", "ask_twice")
     p.r.tokens.inject(Fault(kind="slow", delay_ms=100))
     assert p.ask().status == 200
@@ -167,7 +166,7 @@
     assert p.r.ingress.core.counts["arrived"] == 1
 
 
-def test_asked_twice_while_the_counter_decides_the_second_waits_for_the_first(proxied) -> None:
+def test_repeated_sub_request_during_the_decision_waits_for_the_first(proxied) -> None:
     p = proxied()
     core, held = p.r.ingress.core, []
     real, core.gateway.handle = core.gateway.handle, lambda now, event: held.append(event) or []
@@ -192,18 +191,18 @@
 
 
 @pytest.mark.parametrize(("fault", "counted"), [("report_twice", "repeated"), ("report_early", "repeated")])
-def test_reports_that_come_twice_or_too_early_settle_once(proxied, fault, counted) -> None:
+def test_repeated_or_early_reports_settle_once(proxied, fault, counted) -> None:
     p = proxied("caddy", fault)
-    told: list[Any] = []
-    ended = p.r.ingress.core.attempt_ended
-    p.r.ingress.core.attempt_ended = lambda *a: (told.append(a[3]), ended(*a))
+    reported: list[Any] = []
+    attempt_ended = p.r.ingress.core.attempt_ended
+    p.r.ingress.core.attempt_ended = lambda *a: (reported.append(a[3]), attempt_ended(*a))
     assert p.ask().status == 200
     wait_for(lambda: p.permits[counted] == 1 or p.permits["unknown"] == 1)
     wait_for(lambda: p.permits["settled"] == 1)
-    assert len(told) == 1 and not p.r.ingress.core.open_exchanges
+    assert len(reported) == 1 and not p.r.ingress.core.open_exchanges
 
 
-def test_a_report_while_the_decision_is_made_is_settled_with_it(proxied) -> None:
+def test_report_during_the_decision_settles_with_it(proxied) -> None:
     p = proxied()
     core, held = p.r.ingress.core, []
     real, core.gateway.handle = core.gateway.handle, lambda now, event: held.append(event) or []
@@ -217,18 +216,18 @@
     assert core.counts["served"] == 1 and not core.open_exchanges
 
 
-def test_a_report_for_another_instance_settles_nothing(proxied) -> None:
+def test_report_for_another_instance_settles_nothing(proxied) -> None:
     other = proxied()
     p = proxied("traefik", "report_elsewhere", instance={"index": 0, "gateways": 2}, config={"gateways": []})
     other.r.ingress.forward_front.permits.instance = 1
     p.proxy.gateways = [p.gateway, other.gateway]
-    p.proxy.gateway_index = 1  # so that the first is asked, and the second told
+    p.proxy.gateway_index = 1  # the first gateway gets the sub-request, the second the report
     assert p.ask().status == 200
     wait_for(lambda: other.permits["elsewhere"] == 1)
     assert p.permits["settled"] == 0 and len(p.r.ingress.core.open_exchanges) == 1
 
 
-def test_the_proxy_gives_up_while_we_decide_and_nothing_is_counted(proxied) -> None:
+def test_sub_request_abandoned_by_the_proxy_is_not_counted(proxied) -> None:
     p = proxied("traefik", Fault(kind="auth_timeout", delay_ms=100))
     core, held = p.r.ingress.core, []
     real, core.gateway.handle = core.gateway.handle, lambda now, event: held.append(event) or []
@@ -241,21 +240,22 @@
     assert not p.r.entries("received")
 
 
-def test_a_proxy_that_fails_open_and_reports_is_charged(proxied) -> None:
+def test_use_reported_by_a_proxy_that_failed_open_is_charged(proxied) -> None:
     p = proxied("traefik", Fault(kind="auth_timeout", delay_ms=100), "fail_open")
     core, posted = p.r.ingress.core, []
     real = core.gateway.handle
     core.gateway.handle = lambda now, event: (
         posted.append(event) or (real(now, event) if isinstance(event, ExternalUse) else [])
     )
-    assert p.ask(token="small", tamarind_units="2", tamarind_request="n1").status == 200  # let through
+    # The proxy fails open.
+    assert p.ask(token="small", tamarind_units="2", tamarind_request="n1").status == 200
     wait_for(lambda: p.permits["charged"] == 1)
     (passed,) = [e for e in posted if isinstance(e, ExternalUse)]
     customer = core.gateway.customers[passed.customer]
     assert passed.units == 2 and customer.tokens < customer.plan.burst - 1.9
 
 
-def test_what_nobody_can_be_charged_for_is_told_so(proxied) -> None:
+def test_report_of_use_without_a_known_customer_is_answered_so(proxied) -> None:
     p = proxied("traefik", "fail_open", introspection={"timeout_ms": 50})
     p.r.tokens.inject(Fault(kind="hang"))
     assert p.ask(tamarind_request="n1").status == 200
@@ -263,7 +263,7 @@
     assert p.r.ingress.core.counts["arrived"] == 0
 
 
-def test_a_forged_address_from_outside_the_trusted_set(proxied) -> None:
+def test_forwarded_address_from_an_untrusted_peer_is_ignored(proxied) -> None:
     p = proxied(
         networks=[
             {"network": "203.0.113.0/24", "zone": 4},
@@ -272,17 +272,17 @@
         ]
     )
     seen: list[Any] = []
-    enter = p.r.ingress.front.authenticator.authenticate
+    authenticate = p.r.ingress.front.authenticator.authenticate
     p.r.ingress.front.authenticator.authenticate = lambda asked, until, peer: (
-        seen.append(peer) or enter(asked, until, peer)
+        seen.append(peer) or authenticate(asked, until, peer)
     )
-    p.ask(x_forwarded_for="203.0.113.7")  # from 127.0.0.1, which is no proxy of ours
+    p.ask(x_forwarded_for="203.0.113.7")  # sent from 127.0.0.1, which is not a trusted proxy
     assert seen == ["127.0.0.1"]
     (received,) = p.r.entries("received")
     assert received["peer"] == "127.0.2.1"
 
 
-def test_networks_name_a_zone_or_are_refused_on_both_fronts(rig) -> None:
+def test_network_rules_apply_to_both_fronts(rig) -> None:
     r = rig(
         forward={"trusted": ["127.0.0.0/8"], "lapse_ms": 60_000},
         networks=[{"network": "203.0.113.0/24", "zone": 4}, {"network": "198.51.100.0/24", "refuse": True}],
@@ -305,7 +305,7 @@
 
 
 @pytest.mark.parametrize("value", [b"a\x00b", b"a\rb", b"a\nb", b"a\n b", b"x" * 65_536])
-def test_header_values_that_no_proxy_should_send(proxied, value) -> None:
+def test_invalid_header_values_are_rejected(proxied, value) -> None:
     p = proxied()
     host, port = p.gateway.split(":")
     sock = socket.create_connection((host, int(port)), timeout=10, source_address=("127.0.2.1", 0))
@@ -319,7 +319,7 @@
     assert p.r.ingress.core.counts["arrived"] == 0
 
 
-def test_revoked_at_one_moment_on_both_fronts(rig, proxied) -> None:
+def test_revocation_takes_effect_on_both_fronts_at_once(rig, proxied) -> None:
     p = proxied(introspection={"max_age_ms": 0})
     assert p.ask().status == p.r.ask().status == 200
     p.r.tokens.tokens.pop("good")
@@ -327,48 +327,50 @@
     assert len(p.r.entries("received")) == 2
 
 
-class Seen(Gateway):
-    """Remembers what the counter's totals start from."""
+class RecordingGateway(Gateway):
+    """Records the units added to the counter, and those already unreported when a customer is first seen."""
 
     def customer_for(self, now, event):
         known = event.customer in self.customers
         customer = super().customer_for(now, event)
         if not known:
-            self.first = getattr(self, "first", 0.0) + customer.unreported_units
+            self.initial_units = getattr(self, "initial_units", 0.0) + customer.unreported_units
         return customer
 
     def handle(self, now, event):
         actions = super().handle(now, event)
-        self.added = getattr(self, "added", 0.0) + sum(a.amount for a in actions if isinstance(a, Count))
+        self.added_units = getattr(self, "added_units", 0.0) + sum(
+            a.amount for a in actions if isinstance(a, Count)
+        )
         return actions
 
 
-def test_each_try_is_charged_exactly_once_by_the_counters_totals(proxied) -> None:
+def test_counter_totals_charge_each_try_exactly_once(proxied) -> None:
     p = proxied(
         "traefik",
         Fault(kind="ask_twice", part=0.4),
         Fault(kind="report_twice", part=0.3),
         Fault(kind="report_never", part=0.3),
         counter=True,
-        make=Seen,
+        make=RecordingGateway,
         plans=[{"name": "open", "rate": 1, "burst": 1000}],
     )
-    draw, asked = Random(5), 0.0
+    random, asked_units = Random(5), 0.0
     for i in range(120):
-        units = draw.choice((1, 2, 4))
-        asked += units
-        by = p.ask if i % 2 else p.r.ask
-        assert by(tamarind_units=str(units)).status == 200
+        units = random.choice((1, 2, 4))
+        asked_units += units
+        send = p.ask if i % 2 else p.r.ask
+        assert send(tamarind_units=str(units)).status == 200
     gateway = p.r.ingress.core.gateway
     counter = p.r.counter
     wait_for(lambda: not gateway.pending_counts)
     (customer,) = gateway.customers.values()
     total = sum(counter.totals.values())
-    assert total == pytest.approx(gateway.added)
-    assert total + customer.unreported_units - gateway.first == pytest.approx(asked)
+    assert total == pytest.approx(gateway.added_units)
+    assert total + customer.unreported_units - gateway.initial_units == pytest.approx(asked_units)
 
 
-def test_open_requests_of_a_plan_over_both_fronts(proxied) -> None:
+def test_open_request_limit_of_a_plan_covers_both_fronts(proxied) -> None:
     p = proxied(
         "traefik",
         "report_never",
@@ -387,9 +389,9 @@
     hanging.kill()
 
 
-def test_a_decision_takes_no_longer_than_was_stated(proxied) -> None:
+def test_decision_is_limited_to_decide_ms(proxied) -> None:
     p = proxied()
-    assert p.ask().status == 200  # the token is known now, however slow the machine is
+    assert p.ask().status == 200  # caches the token, so that introspection takes no time below
     core, front = p.r.ingress.core, p.r.ingress.forward_front
     wait_for(lambda: not core.open_exchanges)
     front.section = msgspec.structs.replace(front.section, decide_ms=60)
@@ -399,24 +401,24 @@
     assert p.r.ingress.forward_front.counts["overdue"] == 1 and not core.open_exchanges
 
 
-def test_a_pressed_front_turns_the_least_worth_away_unchecked(proxied) -> None:
+def test_front_under_pressure_rejects_the_lowest_worth_without_introspection(proxied) -> None:
     p = proxied(forward={"most_deciding": 4})
     p.r.ingress.forward_front.gate.deciding = 3
-    looked = p.r.ingress.introspector.checker.counts.copy()
+    counts_before = p.r.ingress.introspector.checker.counts.copy()
     assert p.ask().status == 503
-    assert p.r.ingress.introspector.checker.counts == looked  # nothing costly was done
+    assert p.r.ingress.introspector.checker.counts == counts_before  # no introspection was made
     assert p.ask("/switches", "POST").status == 200
     assert p.r.ingress.forward_front.counts["pressed"] == 1
 
 
-def test_in_the_form_that_only_decides_the_proxy_chooses(proxied) -> None:
+def test_in_decide_form_the_proxy_chooses_the_server(proxied) -> None:
     p = proxied("nginx", forward={"form": "decide", "hold_ms": 20}, config={"form": "decide"})
-    told: list[Any] = []
-    ended = p.r.ingress.core.attempt_ended
-    p.r.ingress.core.attempt_ended = lambda *a: (told.append(a[3].name), ended(*a))
+    reported: list[Any] = []
+    attempt_ended = p.r.ingress.core.attempt_ended
+    p.r.ingress.core.attempt_ended = lambda *a: (reported.append(a[3].name), attempt_ended(*a))
     assert p.ask().status == 200
-    wait_for(lambda: told)
-    assert told == ["CANCELLED"] and not p.r.ingress.core.open_exchanges
+    wait_for(lambda: reported)
+    assert reported == ["CANCELLED"] and not p.r.ingress.core.open_exchanges
     assert (
         "permitted" in {e["what"] for e in p.proxy.ledger.entries}
         and p.proxy.ledger.entries_of_kind("permitted")[0]["server"] == ""
@@ -426,12 +428,11 @@
 # ---- health and admin
 
 
-def test_health_is_answered_while_the_loop_stands_still(rig) -> None:
+def test_health_is_answered_while_the_event_loop_is_blocked(rig) -> None:
     r = rig(admin={"stale_ms": 50})
     port = r.ingress.admin.port
-    found = httpx.get(
-        f"http://127.0.0.1:{port}/ready"
-    )  # blocks the loop; the admin thread answers all the same
+    # The call blocks the event loop; the admin thread answers nevertheless.
+    found = httpx.get(f"http://127.0.0.1:{port}/ready")
     assert (found.status_code, found.json()) == (200, {"status": "ready"})
     assert httpx.get(f"http://127.0.0.1:{port}/counts").json()["requests"]["arrived"] == 0
     r.ingress.last_loop_turn_s -= 60
@@ -445,7 +446,7 @@
     r.ingress.stopping = False
 
 
-# ---- strangers
+# ---- independent HTTP clients
 
 
 def in_thread(call: Callable[[], Any]) -> Any:
@@ -453,7 +454,7 @@
 
 
 @pytest.mark.parametrize("get", [httpx.get, requests.get], ids=["httpx", "requests"])
-def test_clients_that_nobody_here_wrote_ask_and_report(proxied, get) -> None:
+def test_independent_python_clients_send_sub_request_and_report(proxied, get) -> None:
     p = proxied(forward={"trusted": ["127.0.0.0/8"]})
     post = httpx.post if get is httpx.get else requests.post
     headers = {
@@ -482,8 +483,8 @@
     assert refused.status_code == 401 and "invalid_token" in refused.headers["www-authenticate"]
 
 
-@pytest.mark.skipif(shutil.which("node") is None, reason="no node here")
-def test_nodes_fetch_asks_and_reports(proxied) -> None:
+@pytest.mark.skipif(shutil.which("node") is None, reason="node is not installed")
+def test_fetch_of_node_sends_sub_request_and_report(proxied) -> None:
     p = proxied(forward={"trusted": ["127.0.0.0/8"]})
     code = """
     const at = process.argv[1], out = [];
@@ -507,11 +508,11 @@
     assert json.loads(done.stdout) == [200, "permitted", 200, {"settled": 1}]
 
 
-# ---- the judge on what proxies sent
+# ---- the judge with proxies
 
 
-def test_a_permit_for_a_drained_server_is_found(proxied, tmp_path) -> None:
-    class Deaf(Gateway):
+def test_permit_for_a_drained_server_is_found(proxied, tmp_path) -> None:
+    class IgnoringUpdates(Gateway):
         def on_fleet_update(self, now, event):
             if not self.backends:
                 super().on_fleet_update(now, event)
@@ -519,14 +520,17 @@
         def choose_backend(self, now, call, max_wait_ms=0.0):
             return next(iter(self.backends.values()))
 
-    p = proxied(make=Deaf, plans=CAPPED)
+    p = proxied(make=IgnoringUpdates, plans=CAPPED)
     r = p.r
     r.ingress.core.reason_not_to_send = lambda *_: ""
-    made = judged_day(len(r.servers))
+    made = scenario(len(r.servers))
     address = f"127.0.0.1:{p.proxy.server.server_port}"
     (tmp_path / "ledgers").mkdir()
-    load = Load(
-        made, SimpleNamespace(out=tmp_path, book=None, doors=[None, SimpleNamespace(address=address)])
+    load = LoadGenerator(
+        made,
+        SimpleNamespace(
+            out=tmp_path, registry_operator=None, entry_points=[None, SimpleNamespace(address=address)]
+        ),
     )
     load.ledger = type(load.ledger)()
     r.tokens.tokens["tok-c-0-0"] = {"sub": "store-1", "plan": "open", "scope": "switch quote"}
@@ -536,7 +540,7 @@
             [
                 gevent.spawn(
                     load._call,
-                    _Call(i, "c-0", "open", load.facts["quote"], 1, load.clock() + 3000, False),
+                    _Call(i, "c-0", "open", load.classes["quote"], 1, load.clock() + 3000, False),
                     1,
                     Random(i),
                 )
@@ -546,7 +550,7 @@
         )
 
     made = msgspec.structs.replace(made, proxies=[None])
-    load.day = made
+    load.scenario = made
     calls(range(5))
     run = [{"t": 0.0, "what": "instance_up", "index": 0, "source": "127.0.0.1", "forward": p.gateway}]
 
@@ -555,7 +559,7 @@
             v.rule: v
             for v in judge(
                 made,
-                join(
+                join_ledgers(
                     made,
                     load.ledger.entries,
                     [s.ledger.entries for s in r.servers],
@@ -567,11 +571,11 @@
             )
         }
 
-    assert not broken(verdicts())
-    told = len(r.fleet.ledger.entries)
+    assert not broken_rules(verdicts())
+    updates = len(r.fleet.ledger.entries)
     r.fleet.change([ServerLine(r.servers[0].address, "draining")])
-    wait_for(lambda: len(r.fleet.ledger.entries) > told)
+    wait_for(lambda: len(r.fleet.ledger.entries) > updates)
     until = r.ingress.steady.now() + 600
     wait_for(lambda: r.ingress.steady.now() > until)
     calls(range(5, 10))
-    assert broken(verdicts()) == {"drains kept"}
+    assert broken_rules(verdicts()) == {"drains kept"}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Links that are spoilt do what their fault says, and nothing else."""
+"""The faults of links (relay.py), and the search for stale versions in a history of probes."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from rig import wait_for
 
 from tamarindfold.ingress.clock import SteadyClock
-from tamarindfold.rehearsal.marks import contradictions
 from tamarindfold.rehearsal.relay import LinkFault, Relay
+from tamarindfold.rehearsal.version_probe import find_stale_versions
 
 
 class Echo:
-    """What is sent to it comes back; it keeps what it read."""
+    """A server that echoes what it receives and records it."""
 
     def __init__(self) -> None:
         self.read = b""
@@ -65,7 +65,7 @@
     return msgspec.convert(fields, LinkFault)
 
 
-def test_a_link_that_is_well_passes_everything(link: Any) -> None:
+def test_link_without_faults_forwards_everything(link: Any) -> None:
     relay, echo, _ = link
     sock = connect(relay)
     sock.sendall(b"x" * 100_000)
@@ -74,16 +74,16 @@
         got += sock.recv(65536)
     assert got == b"x" * 100_000 == echo.read
     sock.close()
-    wait_for(lambda: not echo.open)  # the end is passed on too
+    wait_for(lambda: not echo.open)  # the end of the connection is forwarded too
 
 
 @pytest.mark.parametrize(("way", "reached"), [("both", b""), ("there", b""), ("back", b"lost")])
-def test_a_cut_loses_what_is_sent_and_the_connection_with_it(link: Any, way: str, reached: bytes) -> None:
+def test_cut_loses_bytes_and_ends_the_connection(link: Any, way: str, reached: bytes) -> None:
     relay, echo, notes = link
     sock = connect(relay)
     sock.sendall(b"1")
     assert sock.recv(10) == b"1"
-    relay.spoil(fault(kind="cut", way=way))
+    relay.inject(fault(kind="cut", way=way))
     sock.sendall(b"lost")
     gevent.sleep(0.05)
     wait_for(lambda: echo.read[1:] == reached)
@@ -99,23 +99,23 @@
     assert again.recv(10) == b"2"
 
 
-def test_a_stall_holds_everything_and_loses_nothing(link: Any) -> None:
+def test_stall_delays_bytes_without_loss(link: Any) -> None:
     relay, echo, _ = link
     sock = connect(relay)
-    relay.spoil(fault(kind="stall"))
+    relay.inject(fault(kind="stall"))
     sock.sendall(b"kept")
     gevent.sleep(0.02)
     assert echo.read == b""
     relay.heal()
     assert sock.recv(10) == b"kept"
-    relay.spoil(fault(kind="stall", for_ms=5))
+    relay.inject(fault(kind="stall", for_ms=5))
     sock.sendall(b"too")
-    assert sock.recv(10) == b"too"  # once the stall has ended by itself
+    assert sock.recv(10) == b"too"  # after the end of the stall's duration
 
 
-def test_a_delay_keeps_the_order_and_takes_its_time(link: Any) -> None:
+def test_delay_keeps_the_order_of_bytes(link: Any) -> None:
     relay, _, _ = link
-    relay.spoil(fault(kind="delay", way="there", delay_ms=30, jitter_ms=30))
+    relay.inject(fault(kind="delay", way="there", delay_ms=30, jitter_ms=30))
     sock = connect(relay)
     began = relay.clock()
     for part in (b"a", b"b", b"c"):
@@ -127,24 +127,24 @@
     assert got == b"abc" and relay.clock() - began >= 30
 
 
-def test_a_reset_ends_and_a_half_open_one_says_nothing(link: Any) -> None:
+def test_reset_half_open_and_refuse(link: Any) -> None:
     relay, echo, _ = link
     one = connect(relay)
     one.sendall(b"1")
     assert one.recv(10) == b"1"
-    relay.spoil(fault(kind="reset"))
+    relay.inject(fault(kind="reset"))
     with pytest.raises(ConnectionResetError):
         one.recv(10)
     two = connect(relay)
     two.sendall(b"2")
     assert two.recv(10) == b"2"
-    relay.spoil(fault(kind="half_open"))
+    relay.inject(fault(kind="half_open"))
     wait_for(lambda: not echo.open)
     two.settimeout(0.05)
     two.sendall(b"nowhere")
     with pytest.raises(TimeoutError):
         two.recv(10)
-    relay.spoil(fault(kind="refuse"))
+    relay.inject(fault(kind="refuse"))
     with pytest.raises(OSError):
         three = connect(relay)
         three.sendall(b"3")
@@ -152,7 +152,7 @@
             raise ConnectionResetError
 
 
-def mark(at: float, index: int, version: int, status: int = 401, start: float = 0.0) -> dict[str, Any]:
+def probe(at: float, index: int, version: int, status: int = 401, start: float = 0.0) -> dict[str, Any]:
     return {
         "t": at,
         "what": "mark",
@@ -163,19 +163,20 @@
     }
 
 
-def test_a_history_shows_who_acted_on_the_old_for_too_long_and_only_that() -> None:
-    first = [mark(10, 0, 1), mark(11, 1, 1), mark(100, 0, 2)]
-    late = mark(1300, 1, 1)
-    assert not contradictions([*first, mark(1000, 1, 1)], 1000).breaches
-    seen = contradictions([*first, late], 1000)
-    assert [b["instance"] for b in seen.breaches] == [1] and seen.max_ms == 1199
-    # a probe that was under way since before tells of no later moment, unless the instance was stopped meanwhile
-    assert not contradictions([*first, mark(1300, 1, 1, start=90)], 1000).breaches
-    woken = [
+def test_only_versions_acted_on_for_too_long_beside_a_newer_one_are_found() -> None:
+    first = [probe(10, 0, 1), probe(11, 1, 1), probe(100, 0, 2)]
+    late = probe(1300, 1, 1)
+    assert not find_stale_versions([*first, probe(1000, 1, 1)], 1000).breaches
+    seen = find_stale_versions([*first, late], 1000)
+    assert [b["instance"] for b in seen.breaches] == [1] and seen.max_overlap_ms == 1199
+    # a probe may reflect the moment of its start, unless the instance was suspended then and resumed later
+    assert not find_stale_versions([*first, probe(1300, 1, 1, start=90)], 1000).breaches
+    suspension = [
         {"t": 80, "what": "instance_stalls", "index": 1},
         {"t": 1250, "what": "instance_resumes", "index": 1},
     ]
-    assert contradictions([*first, *woken, mark(1300, 1, 1, start=90)], 1000).breaches
-    assert not contradictions([*first, mark(1300, 1, 1, 503)], 1000).breaches
-    answered = mark(95, 1, 1, start=90)  # before it was woken: it was under way as the stop was noted
-    assert not contradictions([*first, *woken, answered], 1000).breaches
+    assert find_stale_versions([*first, *suspension, probe(1300, 1, 1, start=90)], 1000).breaches
+    assert not find_stale_versions([*first, probe(1300, 1, 1, 503)], 1000).breaches
+    # answered before the resumption, so it was sent before the suspension took effect
+    answered = probe(95, 1, 1, start=90)
+    assert not find_stale_versions([*first, *suspension, answered], 1000).breaches
