--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -99,6 +99,7 @@
     connection._process = disconnect_before_decision
     sock.sendall(request)
     wait_for(lambda: front.counts["requests"] and not len(front.clients))
+    wait_for(lambda: not testbed.node.core.withdrawn)  # after a stall events wait for RESUME_DELAY_S
     assert not testbed.received()
     counts = testbed.node.core.counts
     assert (counts["left_unsent"], counts["left_sent"], counts["left"]) == (1, 0, 1)
