--- a/tamarindfold/bench/link.py
+++ b/tamarindfold/bench/link.py
@@ -10,7 +10,7 @@
 
 
 def _read_exactly(source: BinaryIO, count: int, name: str) -> bytes:
-    """Read count bytes; WireError if the input ends before."""
+    """Read count bytes; WireError if the input ends early."""
     data = source.read(count)
     if len(data) != count:
         raise wire.WireError(f"{name}: input ends after {len(data)} of {count} bytes")
--- a/tamarindfold/bench/settings.py
+++ b/tamarindfold/bench/settings.py
@@ -71,68 +71,68 @@
     return read_settings(Reader(values))
 
 
-def read_settings(r: Reader) -> Settings:
+def read_settings(reader: Reader) -> Settings:
     """The settings for one gateway; unknown keys are ignored."""
     classes = []
-    for c in r.item_prefixes("categories"):
-        effect = r.text(c + "idempotency")
+    for prefix in reader.item_prefixes("categories"):
+        effect = reader.text(prefix + "idempotency")
         if effect not in _EFFECTS:
-            raise SettingsError(f"settings: {c}idempotency: {effect!r} is unknown")
+            raise SettingsError(f"settings: {prefix}idempotency: {effect!r} is unknown")
         classes.append(
             RequestClass(
-                r.number(c + "aim"),
-                r.number(c + "hard_limit"),
-                r.number(c + "points"),
+                reader.number(prefix + "aim"),
+                reader.number(prefix + "hard_limit"),
+                reader.number(prefix + "points"),
                 _EFFECTS[effect],
-                enum_member(Group, r.text(c + "group", "all"), f"settings: {c}group"),
-                r.number(c + "dedup_window", 0),
-                r.number(c + "late_worth", 0),
-                r.text(c + "name", ""),
+                enum_member(Group, reader.text(prefix + "group", "all"), f"settings: {prefix}group"),
+                reader.number(prefix + "dedup_window", 0),
+                reader.number(prefix + "late_worth", 0),
+                reader.text(prefix + "name", ""),
             )
         )
     plans = [
         Plan(
-            r.number(p + "per_second"),
-            r.number(p + "peak_units"),
-            r.integer(p + "at_once", 0),
-            r.number(p + "price", 1),
-            r.number(p + "over_worth", 0),
-            r.number(p + "excess_cost", 0),
-            r.number(p + "cap_rate", 0),
-            r.number(p + "ceiling_burst", 0),
-            r.number(p + "tolerance", 0),
-            r.text(p + "name", ""),
+            reader.number(prefix + "per_second"),
+            reader.number(prefix + "peak_units"),
+            reader.integer(prefix + "at_once", 0),
+            reader.number(prefix + "price", 1),
+            reader.number(prefix + "over_worth", 0),
+            reader.number(prefix + "excess_cost", 0),
+            reader.number(prefix + "cap_rate", 0),
+            reader.number(prefix + "ceiling_burst", 0),
+            reader.number(prefix + "tolerance", 0),
+            reader.text(prefix + "name", ""),
         )
-        for p in r.item_prefixes("plans")
+        for prefix in reader.item_prefixes("plans")
     ]
-    report_fields = r.text("telemetry.via", "off") != "off" and r.text("telemetry.fields", "")
+    report_fields = reader.text("telemetry.via", "off") != "off" and reader.text("telemetry.fields", "")
     return Settings(
-        gateways=r.integer("balancers"),
-        index=r.integer("index"),
+        gateways=reader.integer("balancers"),
+        index=reader.integer("index"),
         classes=tuple(classes),
         plans=tuple(plans),
-        max_attempts=r.integer("permissions.most_tries"),
-        start_capacity=r.number("safety.start_capacity"),
-        cold_ms=r.number("safety.cold"),
-        fall_multiple=r.number("safety.fall_multiple"),
-        overload_ms=r.number("safety.overload_for"),
-        drain_grace_ms=r.number("safety.stop_sending_within"),
-        answer_grace_ms=r.number("safety.grace_to_answer", 0),
-        zone=r.integer("locality", 0),
-        tick_ms=r.number("quantum", 1),
-        most_units=r.number("extra.units_top", 1),
-        marks_retry=r.boolean("clients.marks_retry"),
-        retry_after=r.boolean("permissions.retry_after"),
-        max_retry_after_ms=r.number("permissions.max_retry_after", 0),
-        second_copies=r.boolean("permissions.parallel_tries"),
-        cancel=r.boolean("permissions.cancel"),
-        probes=r.boolean("permissions.probes"),
-        peers=r.boolean("permissions.may_tell"),
-        peer_in_per_s=r.number("extra.peer_intake", 0),
-        counter=r.boolean("extra.has_counter"),
-        counter_timeout_ms=r.number("extra.count_wait", 0),
-        counter_price=r.number("extra.counter_price", 0),
-        meter_ms=r.number("extra.meter", 0),
-        settled_after=r.boolean("extra.cost_after"),
+        max_attempts=reader.integer("permissions.most_tries"),
+        start_capacity=reader.number("safety.start_capacity"),
+        cold_ms=reader.number("safety.cold"),
+        fall_multiple=reader.number("safety.fall_multiple"),
+        overload_ms=reader.number("safety.overload_for"),
+        drain_grace_ms=reader.number("safety.stop_sending_within"),
+        answer_grace_ms=reader.number("safety.grace_to_answer", 0),
+        zone=reader.integer("locality", 0),
+        tick_ms=reader.number("quantum", 1),
+        most_units=reader.number("extra.units_top", 1),
+        marks_retry=reader.boolean("clients.marks_retry"),
+        retry_after=reader.boolean("permissions.retry_after"),
+        max_retry_after_ms=reader.number("permissions.max_retry_after", 0),
+        second_copies=reader.boolean("permissions.parallel_tries"),
+        cancel=reader.boolean("permissions.cancel"),
+        probes=reader.boolean("permissions.probes"),
+        peers=reader.boolean("permissions.may_tell"),
+        peer_in_per_s=reader.number("extra.peer_intake", 0),
+        counter=reader.boolean("extra.has_counter"),
+        counter_timeout_ms=reader.number("extra.count_wait", 0),
+        counter_price=reader.number("extra.counter_price", 0),
+        meter_ms=reader.number("extra.meter", 0),
+        settled_after=reader.boolean("extra.cost_after"),
         report_fields=tuple(report_fields.split(",")) if report_fields else (),
     )
--- a/tamarindfold/choice.py
+++ b/tamarindfold/choice.py
@@ -1,7 +1,8 @@
-"""All decisions of a gateway; its settings, events and actions are defined in tamarindfold/interface.py.
+"""The decisions of a gateway, in terms of the settings, events and actions in tamarindfold/interface.py.
 
-The module is deterministic: it has no clock and no I/O, and all randomness comes from one seeded generator.
-Times are milliseconds on the caller's clock.
+They cover quotas, load shedding, the choice of a backend, and further attempts. The module is deterministic:
+it has no clock and no I/O, and all randomness comes from one seeded generator. Times are milliseconds on the
+caller's clock.
 """
 
 from __future__ import annotations
@@ -53,14 +54,14 @@
 SHARED_ROOM_FRACTION = 0.9  # of the burst: a shared bucket above this level has room for every gateway
 SHARED_OVERUSE_FRACTION = 0.25  # of the burst: below this level of the shared bucket the quota is over-used
 RETRY_RESERVE_FRACTION = 0.1  # of the local bucket: kept for retries that the client has marked
-APPOINTMENT_GRACE_MS = 2000.0  # a later retry is not expected; its place in the queue becomes free
+APPOINTMENT_GRACE_MS = 2000.0  # a client this late is no longer expected; its place in the queue is freed
 
 # ---- the shared counter
 
 COUNTER_NAME_TTL_MS = 60_000.0  # a customer is counted under a new name after this time
 MAX_DRIFT_FRACTION = 0.5  # of the burst: a total further off than this is corrected by a call of its own
 REPORT_BATCH_FRACTION = 0.08  # of the burst: units that are reported with one call
-BUSY_HEADROOM = 0.4  # with less headroom than this, calls to the counter are left out at random
+BUSY_HEADROOM = 0.4  # with less headroom than this, calls to the counter are skipped at random
 INITIAL_HEADROOM = 0.5
 MIN_HEADROOM = 0.01
 HEADROOM_DECREASE_FACTOR = 0.7  # after a late answer
@@ -80,13 +81,13 @@
 # ---- the choice of a backend
 
 NEAR_TIE_FACTOR = 1.15  # a random choice among backends this close to the best prevents a thundering herd
-MIN_SUBSET_SIZE = 5  # backends that a gateway uses, and gateways that use a backend, at least
+MIN_SUBSET_SIZE = 5  # least number of backends that a gateway uses, and of gateways that use a backend
 MAX_CANDIDATES = 16  # backends compared for one attempt
 COLD_BUDGET_FRACTION = 0.8  # of the work, from all gateways, that would overload a cold backend
 RETRY_TOKENS_PER_TRY = 0.1  # further attempts that each client's try adds to the retry budget
 MAX_RETRY_TOKENS = 10.0
-MAX_WAIT_FRACTION = 0.33  # of the aim: the longest expected wait of the classes of most worth per ms
-CHEAP_MAX_WAIT_FRACTION = 0.25  # the same for classes of no worth
+MAX_WAIT_FRACTION = 0.33  # of the aim: the longest expected wait, for the highest worth per ms
+CHEAP_MAX_WAIT_FRACTION = 0.25  # the same for classes of worth zero
 OVER_QUOTA_WAIT_FACTOR = 0.5  # applied to the longest wait of requests beyond their quota
 SHEDDING_EXPONENT = 16.0  # how sharply the admitted fraction falls as the wait exceeds its limit
 
@@ -129,10 +130,11 @@
         self.even_share = 1 / width
         self.share = self.even_share  # this gateway's part of rate and burst
         self.tokens = plan.burst * self.even_share  # in the local bucket; below zero: admitted on credit
-        self.cap_tokens = 0.0  # of the ceiling; starts empty, for a restarted gateway may have spent it all
+        # left of the ceiling; starts empty, because a restarted gateway may have spent it all
+        self.cap_tokens = 0.0
         self.refilled_at = now
         self.end_of_queue_time = now
-        self.appointments: deque[float] = deque()  # when refused clients were told to come back
+        self.appointments: deque[float] = deque()  # retry times announced to refused clients
         # number, sum and sum of squares of the units of answered requests
         self.answers = 0
         self.unit_sum = 0.0
@@ -186,11 +188,11 @@
         self.even_share = 1 / width
 
     def schedule_return(self, now: float, units: float, grace_ms: float) -> float:
-        """How long a refused client is to stay away, in ms (DIBA, Algorithm 6 of the paper).
+        """Schedule the retry of a refused client, and return the time until then in ms (DIBA, Algorithm 6).
 
         The client is appended to a virtual queue that is served at the rate at which this gateway's share of
         the quota admits requests. units: those of the request, used until the customer's mean is known.
-        grace_ms: how long an appointment is kept after its time.
+        grace_ms: how long an appointment is kept after its retry time.
         """
         while self.appointments and self.appointments[0] <= now - grace_ms:
             self.appointments.popleft()
@@ -202,12 +204,12 @@
         client_wait_duration = queue_interval * (len(self.appointments) + 1)
         self.end_of_queue_time = max(self.end_of_queue_time, now)
         if now + client_wait_duration - self.end_of_queue_time < queue_interval:
-            back_at = now + client_wait_duration
-            self.end_of_queue_time = max(self.end_of_queue_time, back_at)
+            retry_at = now + client_wait_duration
+            self.end_of_queue_time = max(self.end_of_queue_time, retry_at)
         else:
-            back_at = self.end_of_queue_time = self.end_of_queue_time + queue_interval
-        self.appointments.append(back_at)
-        return back_at - now
+            retry_at = self.end_of_queue_time = self.end_of_queue_time + queue_interval
+        self.appointments.append(retry_at)
+        return retry_at - now
 
     def adjust_share(self, now: float, overused: bool) -> None:
         """Adjust the share, at most once per interval.
@@ -226,7 +228,7 @@
             self.ran_dry = False
 
     def exceeds_bucket(self, units: float) -> bool:
-        """Whether even a full local bucket is too small for this request: then only the counter can tell."""
+        """Whether even a full local bucket is too small for this request, so only the counter can decide."""
         return self.plan.burst * self.share < units
 
     def estimated_fill(self, now: float, refill_fraction: float) -> float:
@@ -243,8 +245,8 @@
         """Update the shared and the local bucket from one answer of the counter.
 
         before: the total ahead of this call. use: the units that the call added. age_ms: how long the name
-        has been in use. Returns the units to add to the total so that it fits the bucket again: above zero
-        where more than a burst was left unused, below zero where the total was corrected twice.
+        has been in use. Returns the units to add to the total as a correction: above zero where more than a
+        burst was left unused, below zero where the total was corrected twice.
         """
         plan = self.plan
         granted = plan.burst + age_ms / 1000 * plan.rate
@@ -256,8 +258,8 @@
         self.shared_tokens = min(full, level) - use
         self.counted_at = now
         has_room = self.shared_tokens > SHARED_ROOM_FRACTION * plan.burst
-        part = self.shared_tokens * self.share if has_room else 0.0
-        self.tokens = max(part, min(self.tokens, self.shared_tokens)) - max(0.0, self.unreported_units)
+        min_tokens = self.shared_tokens * self.share if has_room else 0.0
+        self.tokens = max(min_tokens, min(self.tokens, self.shared_tokens)) - max(0.0, self.unreported_units)
         self.adjust_share(now, self.shared_tokens < SHARED_OVERUSE_FRACTION * plan.burst)
         # use beyond the quota is taken back from the counter, so a total this high was corrected twice
         if use > 0 and level < -MAX_DRIFT_FRACTION * plan.burst:
@@ -340,7 +342,7 @@
         # when this gateway's part of the quotas last grew, and among how many they were divided before
         self.share_grown_at = 0.0
         self.gateways_before = 1
-        self.resumed_at = -inf  # end of this gateway's last stall: older attempts say nothing of the backends
+        self.resumed_at = -inf  # end of this gateway's last stall: older attempts say nothing about backends
         self.actions: Actions = []
         self.handlers: dict[type, Callable[[float, Any], None]] = {
             RequestArrived: self.on_request_arrived,
@@ -405,10 +407,10 @@
         """The state of a customer that a restart must keep; None for an unknown customer."""
         if (known := self.customers.get(customer)) is None:
             return None
-        place = next((i for i, plan in enumerate(self.settings.plans) if plan is known.plan), -1)
+        plan_index = next((i for i, plan in enumerate(self.settings.plans) if plan is known.plan), -1)
         return CustomerSnapshot(
             customer,
-            place,
+            plan_index,
             round(1 / known.even_share),
             list(known.appointments),
             known.end_of_queue_time,
@@ -426,20 +428,20 @@
         """
         self.unit_ms = list(event.unit_ms) if len(event.unit_ms) == len(self.unit_ms) else self.unit_ms
         self.mean_work_ms = self.mean_unit_ms = sum(self.unit_ms) / len(self.unit_ms)
-        for old in event.customers:
-            if old.customer in self.customers or not 0 <= old.plan < len(self.settings.plans):
+        for saved in event.customers:
+            if saved.customer in self.customers or not 0 <= saved.plan < len(self.settings.plans):
                 continue
-            width = max(1, min(old.width, self.settings.gateways))
-            known = Customer(self.settings.plans[old.plan], width, min(now, old.at_ms), old.customer)
-            known.cap_tokens = old.cap_tokens
-            known.refill(now)
-            known.appointments = deque(old.appointments)
-            known.end_of_queue_time = old.end_of_queue_ms
-            known.answers = old.answers
-            known.unit_sum = old.unit_sum
-            known.unit_squares = old.unit_squares
-            known.share_adjusted_at = now
-            self.customers[old.customer] = known
+            width = max(1, min(saved.width, self.settings.gateways))
+            customer = Customer(self.settings.plans[saved.plan], width, min(now, saved.at_ms), saved.customer)
+            customer.cap_tokens = saved.cap_tokens
+            customer.refill(now)
+            customer.appointments = deque(saved.appointments)
+            customer.end_of_queue_time = saved.end_of_queue_ms
+            customer.answers = saved.answers
+            customer.unit_sum = saved.unit_sum
+            customer.unit_squares = saved.unit_squares
+            customer.share_adjusted_at = now
+            self.customers[saved.customer] = customer
 
     # ---- quotas
 
@@ -465,9 +467,9 @@
         known.refill(now)
         if known.plan is not plan:
             known.change_plan(plan)
-        first, oldest = next(iter(self.customers.items()))
+        oldest_number, oldest = next(iter(self.customers.items()))
         if now - oldest.refilled_at > COUNTER_NAME_TTL_MS:
-            del self.customers[first]
+            del self.customers[oldest_number]
         return known
 
     def on_request_arrived(self, now: float, event: RequestArrived) -> None:
@@ -478,16 +480,18 @@
         """
         customer = self.customer_for(now, event)
         plan = customer.plan
-        marks = self.settings.marks_retry
+        marks_retry = self.settings.marks_retry
         work_ms = self.unit_ms[event.cls] * max(event.units, 0.01)
         call = Call(event, self.settings.classes[event.cls], customer, now, work_ms)
         self.calls[event.request] = call
-        if event.retry and marks and customer.appointments:
+        if event.retry and marks_retry and customer.appointments:
             customer.appointments.popleft()
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_TRY)
         self.mean_unit_ms += (self.unit_ms[event.cls] - self.mean_unit_ms) * (1 - EWMA_DECAY) / 2
         below_ceiling = not plan.ceiling_rate or customer.cap_tokens >= event.units
-        reserve = RETRY_RESERVE_FRACTION * plan.burst * customer.share if marks and not event.retry else 0.0
+        reserve = (
+            RETRY_RESERVE_FRACTION * plan.burst * customer.share if marks_retry and not event.retry else 0.0
+        )
         if below_ceiling and (not plan.rate or customer.tokens - reserve >= event.units):
             return self.admit(now, call, True)
         customer.ran_dry = True
@@ -506,7 +510,7 @@
         chance = self.count_chance(call) if may_hold else 0.0
         if self.random.random() < chance:
             if exceeds_bucket:
-                # counted for similar requests that are decided without a call, too (inverse probability)
+                # also stands for similar requests that are decided without a call (inverse probability)
                 call.counted_units = min(
                     event.units / chance, max(event.units, MAX_DRIFT_FRACTION * plan.burst)
                 )
@@ -565,7 +569,7 @@
         self.send(now, call, backend)
 
     def refuse(self, now: float, call: Call, why: Why) -> None:
-        """Final answer: refused, with a time to come back."""
+        """Refuse a request as its final answer, with a time to retry."""
         grace_ms = APPOINTMENT_GRACE_MS * self.settings.marks_retry
         wait = call.customer.schedule_return(now, call.event.units, grace_ms)
         self.actions.append(Refuse(call.event.request, wait, why))
@@ -584,7 +588,7 @@
     def report_use(self, now: float, customer: Customer, call: Call | None = None) -> None:
         """Add a customer's unreported use to the counter, or take back unused units, in whole batches.
 
-        With a held request the call is certain; without one it is left out at random at a busy counter.
+        The call is always made for a held request; otherwise a busy counter is spared some calls at random.
         """
         batch = REPORT_BATCH_FRACTION * customer.plan.burst
         units = ceil(customer.unreported_units / batch) * batch if batch and self.uses_counter else 0.0
@@ -608,7 +612,7 @@
 
         The name holds the plan's version, the number of the period and the customer.
         """
-        # multiplicative hashing (Knuth) spreads the beginnings of the periods
+        # multiplicative hashing (Knuth) spreads the starts of the customers' periods
         offset_ms = customer.number * 2654435761 % 2**32 / 2**32 * COUNTER_NAME_TTL_MS
         period, age_ms = divmod(now + offset_ms, COUNTER_NAME_TTL_MS)
         return customer.plan.version << 64 | int(period) << 33 | customer.number, age_ms
@@ -638,19 +642,19 @@
                     held.counted_units = 0.0
             return self.admit(now, held, True) if held else None
         customer.refill(now)
-        first = customer.counted_at == -inf
+        is_first = customer.counted_at == -inf
         needed = customer.apply_count(now, event.total - use - correction, use, age_ms) - correction
         self.update_account(customer, max(0.0, customer.shared_tokens + use))
-        # a request counted for others too is admitted in proportion to the room that there is for all of them
+        # a request that stands for others is admitted in proportion to the room for all of them
         granted = held is not None and customer.shared_tokens + use >= max(
             held.event.units, held.counted_units * self.random.random()
         )
-        weight = (1 - EWMA_DECAY) / 2 * (first and held is not None)
+        weight = (1 - EWMA_DECAY) / 2 * (is_first and held is not None)
         self.first_count_granted_fraction += (granted - self.first_count_granted_fraction) * weight
-        # units beyond the quota are not to be counted: they are taken back from the counter
-        beyond = use if call and not granted else min(max(use, 0.0), max(0.0, -customer.shared_tokens))
-        customer.unreported_units -= beyond
-        customer.shared_tokens += beyond
+        # units beyond the quota must not remain counted: they are taken back from the counter
+        over_quota = use if call and not granted else min(max(use, 0.0), max(0.0, -customer.shared_tokens))
+        customer.unreported_units -= over_quota
+        customer.shared_tokens += over_quota
         if held:
             self.admit(now, held, True) if granted else self.refuse(now, held, Why.QUOTA)
         if customer.unreported_units <= 0:
@@ -670,9 +674,9 @@
     def on_fleet_update(self, now: float, event: FleetUpdate) -> None:
         """Apply an update of the server list; a backend that is not listed as ready gets no new attempt."""
         if event.kind in (ListKind.FULL, ListKind.CACHED):
-            named = {entry.backend: entry for entry in event.entries}
-            for gone in [n for n in self.backends if n not in named]:
-                self.update_rings(self.backends.pop(gone).entry, False)
+            listed = {entry.backend: entry for entry in event.entries}
+            for removed in [n for n in self.backends if n not in listed]:
+                self.update_rings(self.backends.pop(removed).entry, False)
         for entry in event.entries:
             if (known := self.backends.pop(entry.backend, None)) is not None:
                 self.update_rings(known.entry, False)
@@ -697,14 +701,14 @@
         It depends on the aims of all classes of at least the same worth per ms of work, so that cheap classes
         with a long aim do not fill an overloaded fleet.
         """
-        own = self.settings.classes[cls].worth / self.unit_ms[cls]
+        worth_per_ms = self.settings.classes[cls].worth / self.unit_ms[cls]
         # behind the same queue lighter work waits less, so the aim of a lighter class counts for more
         valuable = [
             (other.worth / ms, other.aim_ms * max(1.0, self.mean_unit_ms / ms))
             for other, ms in zip(self.settings.classes, self.unit_ms, strict=True)
-            if other.worth / ms >= own
+            if other.worth / ms >= worth_per_ms
         ]
-        fraction = CHEAP_MAX_WAIT_FRACTION + (MAX_WAIT_FRACTION - CHEAP_MAX_WAIT_FRACTION) * own / (
+        fraction = CHEAP_MAX_WAIT_FRACTION + (MAX_WAIT_FRACTION - CHEAP_MAX_WAIT_FRACTION) * worth_per_ms / (
             max(valuable)[0] or 1.0
         )
         return fraction * min(aim_ms for _, aim_ms in valuable)
@@ -732,7 +736,7 @@
         return [self.backends[ring[(start + i) % len(ring)]] for i in picked]
 
     def forecast(self, now: float, backend: Backend, call: Call, fleet_slowness: float) -> float:
-        """The expected time of an attempt at this backend, in ms; at least as long as it has been silent."""
+        """The expected time of an attempt at this backend, in ms; at least the time of its silence."""
         slowness = backend.slowness[call.event.cls].current(now, fleet_slowness)
         expected = call.work_ms * slowness * self.queue_factor(now, backend)
         # only the oldest attempt matters: it shows how long the backend has been silent
@@ -750,8 +754,8 @@
         ready = len(self.rings[Group.ALL, 0])
         if warmth < 1 and backend.cold_window != now // s.overload_ms:
             backend.cold_window = now // s.overload_ms
-            users = max(1.0, s.gateways * self.subset_size(ready) / max(1, ready))
-            budget = COLD_BUDGET_FRACTION * s.fall_multiple * warmth * s.overload_ms / users
+            gateways_per_backend = max(1.0, s.gateways * self.subset_size(ready) / max(1, ready))
+            budget = COLD_BUDGET_FRACTION * s.fall_multiple * warmth * s.overload_ms / gateways_per_backend
             # a backend runs at least one request at a time; a budget below one request is rounded at random
             backend.cold_budget_ms = budget + self.random.random() * self.mean_work_ms
         return warmth >= 1 or backend.cold_budget_ms >= work_ms
@@ -762,18 +766,22 @@
         None: no backend may be used, or the request is shed because the expected wait exceeds its limit.
         """
         fleet = self.fleet_slowness.current(now)
-        near = [
-            b
-            for b in self.candidates(call)
-            if not b.entry.up_since_ms or self.within_cold_budget(now, b, call.work_ms)
+        usable = [
+            backend
+            for backend in self.candidates(call)
+            if not backend.entry.up_since_ms or self.within_cold_budget(now, backend, call.work_ms)
         ]
         rated = [
-            (self.forecast(now, b, call, fleet), b) for b in near if b not in call.attempted or len(near) == 1
+            (self.forecast(now, backend, call, fleet), backend)
+            for backend in usable
+            if backend not in call.attempted or len(usable) == 1
         ]
         if not rated:
             return None
-        least = min(f for f, _ in rated)
-        best = self.random.choice([b for f, b in rated if f <= least * NEAR_TIE_FACTOR])
+        shortest = min(forecast for forecast, _ in rated)
+        best = self.random.choice(
+            [backend for forecast, backend in rated if forecast <= shortest * NEAR_TIE_FACTOR]
+        )
         # limited to the slowness of the fleet: one slow backend is no sign of an overloaded fleet
         slowness = min(fleet, best.slowness[call.event.cls].current(now, fleet))
         wait = slowness * self.mean_work_ms * self.queue_factor(now, best)
@@ -839,10 +847,10 @@
         repeatable = harmless or (keyed and now < call.dedup_until - 1)
         refusable = harmless or (keyed and call.cls.group is Group.ALL)
         in_time = now < call.deadline - self.settings.tick_ms
-        more = len(call.attempted) < self.settings.max_attempts and in_time
+        attempts_left = len(call.attempted) < self.settings.max_attempts and in_time
         if (
             repeatable
-            and more
+            and attempts_left
             and self.retry_tokens >= 1
             and (backend := self.choose_backend(now, call)) is not None
         ):
--- a/tamarindfold/config/derive.py
+++ b/tamarindfold/config/derive.py
@@ -107,7 +107,7 @@
 
 
 def check(config: GatewayConfig) -> None:
-    """ValueError if parts of the configuration contradict each other."""
+    """ValueError if sections of the configuration contradict each other."""
     if config.instance.index >= config.instance.gateways:
         raise ValueError(
             f"instance.index: {config.instance.index} is not below instance.gateways "
--- a/tamarindfold/config/model.py
+++ b/tamarindfold/config/model.py
@@ -28,9 +28,8 @@
     seed: int = 1
     zone: Annotated[int, Meta(ge=0)] = 0
     state_dir: str = ""  # folder of the saved server list, registry copy and snapshots; empty: keep none
-    stall_ms: PositiveFloat = (
-        300  # the process counts as stalled if its event loop did not turn for this long
-    )
+    # the process counts as stalled if its event loop made no progress for this long
+    stall_ms: PositiveFloat = 300
 
 
 class Listen(Section, frozen=True):
@@ -83,7 +82,7 @@
     path: Annotated[str, Meta(pattern=r"^/")]
     cls: Identifier = field(name="class")
     scope: str = ""  # required scopes, space-separated (RFC 6749 section 3.3)
-    led_only: bool = False  # not served by an instance that cannot know whether its settings are in force
+    led_only: bool = False  # served only with a lease, which ensures that the settings are in force
 
 
 class PlanConfig(Section, frozen=True):
@@ -212,7 +211,7 @@
     host: str = "127.0.0.1"
     port: Port = 0
     connections: PositiveInt = 8
-    stale_ms: PositiveFloat = 2_000  # unhealthy if the event loop did not turn for this long
+    stale_ms: PositiveFloat = 2_000  # unhealthy if the event loop made no progress for this long
 
 
 class CounterConfig(Section, frozen=True):
--- a/tamarindfold/ds/prefixes.py
+++ b/tamarindfold/ds/prefixes.py
@@ -19,10 +19,8 @@
     __slots__ = ("bits", "length", "one", "value", "zero")
 
     def __init__(self, bits: int, length: int) -> None:
-        self.bits, self.length = (
-            bits,
-            length,
-        )  # the prefix is the first `length` bits of `bits`, from the left
+        # the prefix is the first `length` bits of `bits`, from the left
+        self.bits, self.length = bits, length
         self.value: V | None = None
         self.zero: _Node[V] | None = None
         self.one: _Node[V] | None = None
--- a/tamarindfold/interface.py
+++ b/tamarindfold/interface.py
@@ -11,7 +11,7 @@
 class Outcome(IntEnum):
     """How an attempt, a probe or a counter call ended.
 
-    FULL: rejected unexamined by an overloaded receiver. MOOT: not sent, for the choice no longer applied.
+    FULL: rejected unprocessed by an overloaded receiver. MOOT: not sent, as the choice no longer applied.
     """
 
     OK = 1
@@ -49,7 +49,7 @@
 
 
 class Why(Enum):
-    """The reason of a refusal; it selects the text of the answer and decides nothing."""
+    """The reason for a refusal; it only selects the text of the answer."""
 
     QUOTA = "quota"
     PRESSURE = "pressure"  # the fleet is overloaded
@@ -79,11 +79,15 @@
 
 def _check_minimums(owner: object, minimums: dict[str, float]) -> None:
     """Raise ValueError for the first field that is not a finite number of at least its minimum."""
-    for name, least in minimums.items():
+    for name, minimum in minimums.items():
         value = getattr(owner, name)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < float("inf"):
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not minimum <= value < float("inf")
+        ):
             raise ValueError(
-                f"{type(owner).__name__}.{name}: {value!r} is not a number of at least {least:g}"
+                f"{type(owner).__name__}.{name}: {value!r} is not a number of at least {minimum:g}"
             )
 
 
@@ -97,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A kind of request."""
+    """A class of requests, with its latency target, its worth and the effect of a repeat."""
 
     aim_ms: float  # latency target
     deadline_ms: float
@@ -147,12 +151,12 @@
     start_capacity: float  # fraction of its capacity that a backend has when it starts
     cold_ms: float  # time after its start in which a backend's capacity grows to the whole
     fall_multiple: float  # a backend fails under this multiple of its capacity,
-    overload_ms: float  # if it lasts so long
+    overload_ms: float  # if the overload lasts this long
     drain_grace_ms: float  # how long a draining backend may still get requests
     answer_grace_ms: float = 0.0
     zone: int = 0
     tick_ms: float = 1.0
-    most_units: float = 1.0  # maximum of one request
+    most_units: float = 1.0  # of one request, at most
     marks_retry: bool = False  # whether clients mark their retries
     retry_after: bool = True
     max_retry_after_ms: float = 0.0
@@ -253,7 +257,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; over: the request has its final answer.
+    """An attempt ended; reported once for each attempt. over: the request has its final answer.
 
     used_percent: use of the quota by the site's meter. true_units: 0 where the backend reported none.
     """
@@ -313,16 +317,16 @@
 
 @dataclass(slots=True)
 class PlansChanged:
-    """New plans; earlier plans keep their places, and new ones follow."""
+    """New plans; existing plans keep their indexes, and new ones are appended."""
 
     plans: tuple[Plan, ...]
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings; earlier classes and plans keep their places, and new ones follow.
+    """New settings; existing classes and plans keep their indexes, and new ones are appended.
 
-    newcomer: this gateway had no part of any quota before, and others may have spent what it has now.
+    newcomer: this gateway had no part of any quota before, and others may have spent the part it has now.
     """
 
     settings: Settings
@@ -348,12 +352,12 @@
 
 @dataclass(slots=True)
 class CustomerSnapshot:
-    """The state of one customer that outlives a restart; times as handed to `Gateway.handle`."""
+    """The state of one customer that is kept across a restart; times as handed to `Gateway.handle`."""
 
     customer: int
-    plan: int  # its place in the settings
+    plan: int  # index in `Settings.plans`
     width: int
-    appointments: list[float]  # when refused clients were told to come back
+    appointments: list[float]  # retry times announced to refused clients
     end_of_queue_ms: float
     answers: int = 0
     unit_sum: float = 0.0
--- a/tamarindfold/recovery/driver.py
+++ b/tamarindfold/recovery/driver.py
@@ -143,9 +143,9 @@
                 0o600,
             )
         except OSError as error:
-            self._journal_lost(error)
+            self._discard_files(error)
 
-    def _journal_lost(self, error: OSError) -> None:
+    def _discard_files(self, error: OSError) -> None:
         """Remove all files: a snapshot without its complete journal would return spent units to a ceiling."""
         self.counts["journal_lost"] += 1
         self.log("recovery.journal_lost", reason=str(error))
@@ -183,7 +183,7 @@
             while data:
                 data = data[os.write(self.journal, data) :]
         except OSError as error:
-            self._journal_lost(error)
+            self._discard_files(error)
 
     # ---- snapshots
 
--- a/tamarindfold/recovery/format.py
+++ b/tamarindfold/recovery/format.py
@@ -130,31 +130,37 @@
     return header, rows
 
 
-def _decode_header(h: pb.Header) -> Header:
-    if h.version != VERSION:
-        raise InvalidSnapshot(f"unsupported format version {h.version}, expected {VERSION}")
+def _decode_header(message: pb.Header) -> Header:
+    if message.version != VERSION:
+        raise InvalidSnapshot(f"unsupported format version {message.version}, expected {VERSION}")
     return Header(
-        h.configuration, h.instance, h.generation, h.taken_at_ms, h.last, tuple(h.plans), tuple(h.unit_ms)
+        message.configuration,
+        message.instance,
+        message.generation,
+        message.taken_at_ms,
+        message.last,
+        tuple(message.plans),
+        tuple(message.unit_ms),
     )
 
 
-def _decode_customers(c: pb.Customers, offset: int) -> list[CustomerSnapshot]:
+def _decode_customers(message: pb.Customers, offset: int) -> list[CustomerSnapshot]:
     rows, first_time = [], 0
     columns = (
-        c.number,
-        c.plan,
-        c.width,
-        c.appointments,
-        c.end_of_queue_ms,
-        c.answers,
-        c.unit_sum,
-        c.unit_squares,
-        c.cap_tokens,
-        c.at_ms,
+        message.number,
+        message.plan,
+        message.width,
+        message.appointments,
+        message.end_of_queue_ms,
+        message.answers,
+        message.unit_sum,
+        message.unit_squares,
+        message.cap_tokens,
+        message.at_ms,
     )
-    if len({len(column) for column in columns}) != 1 or sum(c.appointments) != len(c.times):
+    if len({len(column) for column in columns}) != 1 or sum(message.appointments) != len(message.times):
         raise InvalidSnapshot(f"byte {offset}: columns differ in length")
-    times = list(c.times)
+    times = list(message.times)
     for (
         number,
         plan,
--- a/tamarindfold/recovery/rules.py
+++ b/tamarindfold/recovery/rules.py
@@ -67,9 +67,9 @@
         return merged.setdefault(customer, CustomerSnapshot(customer, index, width, [], 0.0, at_ms=now))
 
     retry_times: dict[int, list[float]] = {}
-    for customer, plan, width, back_at in entries.refusals:
+    for customer, plan, width, retry_at in entries.refusals:
         if find_or_add(customer, plan, width) is not None:
-            retry_times.setdefault(customer, []).append(back_at)
+            retry_times.setdefault(customer, []).append(retry_at)
     for customer, times in retry_times.items():
         row = merged[customer]
         row.appointments = merge_times(row.appointments, times)
--- a/tamarindfold/supervisor/policy.py
+++ b/tamarindfold/supervisor/policy.py
@@ -151,7 +151,7 @@
         for name in self.order:
             state = self.states[name]
             if state.phase is Phase.STARTING and now >= state.deadline_ms:
-                state.deadline_ms = inf  # killed; its exit is awaited without a limit
+                state.deadline_ms = inf  # SIGKILL is sent once; the exit is then awaited without a time-out
                 actions.append(Terminate(name, True))
             dependencies_ready = all(
                 self.states[dependency].phase is Phase.READY for dependency in state.spec.after
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -36,11 +36,11 @@
 
 @dataclass
 class Try:
-    """A request and its attempts, as seen from outside the gateway."""
+    """A request and its attempts, as seen from outside the gateway; `sends`: time, backend and outcome."""
 
     event: RequestArrived
     cls: RequestClass
-    give_up: float
+    deadline: float
     sends: list[tuple[float, int, Outcome | None]] = field(default_factory=list)
     closed: bool = False
 
@@ -107,7 +107,7 @@
             self.check_send(now, action, t, may_have_run)
             return
         self.require(
-            now <= t.give_up + self.settings.answer_grace_ms, f"request {action.request}: answered too late"
+            now <= t.deadline + self.settings.answer_grace_ms, f"request {action.request}: answered too late"
         )
         if isinstance(action, Refuse) and may_have_run:
             allowed = t.cls.effect is Effect.SAFE or (
@@ -117,9 +117,9 @@
         t.closed = True
 
     def check_send(self, now: float, action: Send, t: Try, may_have_run: list[tuple[float, int]]) -> None:
-        out = any(o is None for _, _, o in t.sends)
+        outstanding = any(o is None for _, _, o in t.sends)
         self.require(
-            not out or self.settings.second_copies, f"request {action.request}: two attempts at once"
+            not outstanding or self.settings.second_copies, f"request {action.request}: two attempts at once"
         )
         self.require(
             len(t.sends) < self.settings.max_attempts, f"request {action.request}: too many attempts"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
     gateways: int, warm: int, cold: int, seconds: int, kind: type[Gateway] = Gateway
 ) -> list[list[float]]:
     """The times at which each cold backend got a request, under a flood of requests through every gateway."""
-    got: list[list[float]] = [[] for _ in range(cold)]
+    sent_at: list[list[float]] = [[] for _ in range(cold)]
     for index in range(gateways):
         base = gateway(
             gateways=gateways, index=index, classes=(SAFE,), start_capacity=0.2, cold_ms=1e6
@@ -34,9 +34,9 @@
                 number += 1
                 for send in sends(g, now, number):
                     if send.backend >= 1000:
-                        got[send.backend - 1000].append(now)
+                        sent_at[send.backend - 1000].append(now)
                     g.handle(now, ended(number, send.backend, took=WORK_MS))
-    return got
+    return sent_at
 
 
 @pytest.mark.parametrize(("gateways", "warm", "cold"), [(2, 6, 3), (60, 20, 10), (200, 2, 30)])
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -176,15 +176,15 @@
 
 
 def test_a_retry_removes_its_appointment_only_where_clients_mark_retries() -> None:
-    for marks, left in ((True, 0), (False, 1)):
-        g = gateway(plans=(PLAN,), marks_retry=marks)
+    for marks_retry, expected in ((True, 0), (False, 1)):
+        g = gateway(plans=(PLAN,), marks_retry=marks_retry)
         g.customers[9] = c = Customer(PLAN, 2, START)
         c.tokens = 0.0
         assert of_kind(g.handle(START, request(1)), Refuse)
         assert len(c.appointments) == 1
         c.tokens = 8.0
         assert of_kind(g.handle(START + 10, request(2, retry=True)), Send)
-        assert len(c.appointments) == left
+        assert len(c.appointments) == expected
 
 
 def test_a_missed_appointment_is_removed_after_the_grace_time() -> None:
@@ -222,9 +222,9 @@
 SMALL_SHARE = {"plans": (PLAN,), "counter": True, "counter_timeout_ms": 30.0, "gateways": 200}
 
 
-def arrive_and_count(g, number: int, now: float = START, **what) -> Count:
+def arrive_and_count(g, number: int, now: float = START, **changes) -> Count:
     """A try that exceeds the bucket; it is held, and the counter is called."""
-    (count,) = g.handle(now, request(number, width=200, **what))
+    (count,) = g.handle(now, request(number, width=200, **changes))
     assert isinstance(count, Count)
     return count
 
@@ -303,11 +303,11 @@
 def counts_at_headroom(headroom: float, tries: list[dict], **changes) -> list[Count | None]:
     """The counter call for each try, or None; each try is the first one of a new customer."""
     g = gateway(*range(1, 30), **{**SMALL_SHARE, **changes})
-    g.counter_headroom, out = headroom, []
-    for n, what in enumerate(tries):
-        actions = g.handle(START, request(n, customer=1000 + n, width=200, **what))
-        out.append(next(iter(of_kind(actions, Count)), None))
-    return out
+    g.counter_headroom, counts = headroom, []
+    for n, changed in enumerate(tries):
+        actions = g.handle(START, request(n, customer=1000 + n, width=200, **changed))
+        counts.append(next(iter(of_kind(actions, Count)), None))
+    return counts
 
 
 def test_at_a_busy_counter_a_counted_request_is_counted_for_others_like_it() -> None:
@@ -320,10 +320,10 @@
 
 
 def test_a_busy_counter_is_called_for_the_requests_with_the_highest_cost_first() -> None:
-    costly = replace(PLAN, over_cost=0.8)
-    counts = counts_at_headroom(0.1, [{"units": 1.0}, {"units": 4.0}] * 300, plans=(costly,))
-    cheap, dear = sum(c is not None for c in counts[::2]), sum(c is not None for c in counts[1::2])
-    assert dear > 2.5 * cheap > 0
+    plan = replace(PLAN, over_cost=0.8)
+    counts = counts_at_headroom(0.1, [{"units": 1.0}, {"units": 4.0}] * 300, plans=(plan,))
+    cheap, costly = sum(c is not None for c in counts[::2]), sum(c is not None for c in counts[1::2])
+    assert costly > 2.5 * cheap > 0
 
 
 def test_a_plan_that_admits_beyond_its_quota_calls_only_an_idle_counter() -> None:
@@ -429,10 +429,10 @@
 
 def test_answers_for_an_earlier_name_or_without_a_call_are_harmless() -> None:
     g = gateway(*range(1, 30), **SMALL_SHARE)
-    turn = START + 60_000 - g.counter_name(START, Customer(PLAN, 200, START, 9))[1]
-    count = arrive_and_count(g, 2, turn - 1, units=4.0)
+    period_end = START + 60_000 - g.counter_name(START, Customer(PLAN, 200, START, 9))[1]
+    count = arrive_and_count(g, 2, period_end - 1, units=4.0)
     assert answer(g, Count(77, 0.0, 0.0), 5.0) == []
-    assert of_kind(answer(g, count, 1e6, now=turn + 2), Send)  # says nothing of the current name
+    assert of_kind(answer(g, count, 1e6, now=period_end + 2), Send)  # says nothing of the current name
     assert answer(g, count, 5.0) == []
 
 
@@ -563,12 +563,12 @@
 def test_under_load_cheap_classes_are_refused_before_valuable_ones() -> None:
     served = [0, 0]
     for seed in range(40):
-        for place, cls in enumerate((0, 2)):
+        for index, cls in enumerate((0, 2)):
             g = gateway(1, seed=seed, classes=(LIGHT, HEAVY, VALUABLE))
             g.handle(START, StateRestored((), (60.0, 475.0, 205.0)))
             for n in range(4):
                 assert of_kind(g.handle(START, request(n, cls=2)), Send)
-            served[place] += bool(of_kind(g.handle(START, request(9, cls=cls)), Send))
+            served[index] += bool(of_kind(g.handle(START, request(9, cls=cls)), Send))
     assert served[0] < 10 and served[1] > 30
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -222,7 +222,7 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["ask", "ask", "ask", "end", "end", "end", "leave", "fleet", "timer", "restart"]),
+        st.sampled_from(["ask", "ask", "ask", "end", "end", "end", "withdraw", "fleet", "timer", "restart"]),
         st.integers(0, 10**6),
         st.integers(0, 400),
     ),
@@ -234,47 +234,47 @@
 def run_steps(handle, s, steps, restart=None) -> Checker:
     """Feed the events of these steps, in an order that the interface allows."""
     checker = Checker(handle, s)
-    now, number, out = START, 0, []
+    now, number, outstanding = START, 0, []
     checker.feed(now, fleet(1, 2, 3, 4))
 
     def record_sends(actions: list) -> None:
         for a in actions:
             if isinstance(a, Send):
-                out.append((a.request, len(checker.tries[a.request].sends) - 1, a.backend, now))
+                outstanding.append((a.request, len(checker.tries[a.request].sends) - 1, a.backend, now))
 
     def end(pick: int, outcome: Outcome) -> None:
-        call, attempt, backend, sent = out.pop(pick)
+        call, attempt, backend, sent = outstanding.pop(pick)
         t = checker.tries[call]
         over = t.closed or outcome is Outcome.OK
         record_sends(checker.feed(now, AttemptEnded(call, attempt, backend, outcome, now - sent, over)))
 
-    for what, pick, gap in steps:
+    for step, pick, gap in steps:
         now += gap
-        for i in reversed(range(len(out))):  # attempts time out exactly at the deadline
-            if checker.tries[out[i][0]].give_up <= now:
-                late, now = now, checker.tries[out[i][0]].give_up
+        for i in reversed(range(len(outstanding))):  # attempts time out exactly at the deadline
+            if checker.tries[outstanding[i][0]].deadline <= now:
+                stepped_to, now = now, checker.tries[outstanding[i][0]].deadline
                 end(i, Outcome.TIMEOUT)
-                now = late
-        if what == "ask":
+                now = stepped_to
+        if step == "ask":
             number += 1
             record_sends(
                 checker.feed(
                     now, request(number, pick % 4, pick % 3, units=1 + pick % 4, left=500 + pick % 4000)
                 )
             )
-        elif what == "end" and out:
-            end(pick % len(out), list(Outcome)[pick // 7 % 8])
-        elif what == "leave" and checker.tries:
+        elif step == "end" and outstanding:
+            end(pick % len(outstanding), list(Outcome)[pick // 7 % 8])
+        elif step == "withdraw" and checker.tries:
             checker.feed(now, RequestWithdrawn(1 + pick % number))
-        elif what == "fleet":
+        elif step == "fleet":
             state, kind = list(BackendState)[pick % 3], list(ListKind)[pick // 3 % 4]
             # a failed list has no entries
             ids = [i for i in (1, 2, 3, 4) if pick >> (i + 4) & 1 and kind is not ListKind.FAILED]
             checker.feed(now, fleet(*ids, state=state, kind=kind, up=now if pick % 5 == 0 else 0.0))
-        elif what == "timer":
+        elif step == "timer":
             checker.feed(now, TimerFired(pick % 2))
-        elif what == "restart" and restart is not None:  # open requests are lost; their clients retry
-            out.clear()
+        elif step == "restart" and restart is not None:  # open requests are lost; their clients retry
+            outstanding.clear()
             for t in checker.tries.values():
                 t.closed = True
             checker.handle = restart()
@@ -286,8 +286,8 @@
             )
     for _ in range(20):
         now += 1
-        for _ in range(len(out)):
-            end(0, Outcome.TIMEOUT if checker.tries[out[0][0]].give_up <= now else Outcome.OK)
+        for _ in range(len(outstanding)):
+            end(0, Outcome.TIMEOUT if checker.tries[outstanding[0][0]].deadline <= now else Outcome.OK)
     checker.finish()
     return checker
 
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -9,7 +9,7 @@
 
 steps = st.lists(
     st.tuples(
-        st.sampled_from(["set", "off", "on"]),
+        st.sampled_from(["schedule", "cancel", "advance"]),
         st.one_of(st.floats(0, 50), st.floats(0, 5000), st.floats(0, 3e6), st.floats(0, 1e11)),
     ),
     max_size=60,
@@ -23,13 +23,13 @@
     now, numbers = start, iter(range(1000))
     pending: dict[int, tuple[float, object]] = {}
     for operation, amount in script:
-        if operation == "set":
+        if operation == "schedule":
             number = next(numbers)
             pending[number] = now + amount, wheel.schedule(now + amount, lambda number=number: number)
-        elif operation == "off" and pending:
+        elif operation == "cancel" and pending:
             number = list(pending)[int(amount) % len(pending)]
             wheel.cancel(pending.pop(number)[1])
-        elif operation == "on":
+        elif operation == "advance":
             now += min(amount, 2e6)
             for timer in wheel.advance(now):
                 due, _ = pending.pop(timer.callback())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -150,17 +150,17 @@
 
 def test_the_documented_actions_are_written() -> None:
     backend = struct.unpack("<IH", bytes.fromhex("0a124a075b1b"))
-    dispatch = "2e041a00000003000000c4913a5d28800f0000000000000054400a124a075b1b"
-    call = 0x000F80285D3A91C4
-    assert wire.write_action(3, Send(call, backend[0] << 16 | backend[1], 80.0)).hex() == dispatch
-    bump = "fc03180000000300000090f689000000000000008040000000000070a740"
-    assert wire.write_action(3, Count(9041552, 4.0, 3000.0)).hex() == bump
-    wake = "1a0414000000030000000000000000407f404d00000000000000"
-    assert wire.write_action(3, SetTimer(500.0, 77)).hex() == wake
-    share = "60040e00000003000000ffffffff040068692037"
-    assert wire.write_action(3, Tell(None, b"hi 7")).hex() == share
-    debug = "06041700000003000000110074776f2073657276657273206b6e6f776e"
-    assert wire.write_action(3, Log("two servers known")).hex() == debug
+    send_record = "2e041a00000003000000c4913a5d28800f0000000000000054400a124a075b1b"
+    request = 0x000F80285D3A91C4
+    assert wire.write_action(3, Send(request, backend[0] << 16 | backend[1], 80.0)).hex() == send_record
+    count_record = "fc03180000000300000090f689000000000000008040000000000070a740"
+    assert wire.write_action(3, Count(9041552, 4.0, 3000.0)).hex() == count_record
+    timer_record = "1a0414000000030000000000000000407f404d00000000000000"
+    assert wire.write_action(3, SetTimer(500.0, 77)).hex() == timer_record
+    tell_record = "60040e00000003000000ffffffff040068692037"
+    assert wire.write_action(3, Tell(None, b"hi 7")).hex() == tell_record
+    log_record = "06041700000003000000110074776f2073657276657273206b6e6f776e"
+    assert wire.write_action(3, Log("two servers known")).hex() == log_record
 
 
 @pytest.mark.parametrize(
