--- a/tamarindfold/choice.py
+++ b/tamarindfold/choice.py
@@ -285,10 +285,10 @@
 
     def warmth(self, now: float, settings: Settings) -> float:
         """The fraction of its capacity that a backend is guaranteed to have this long after its start."""
-        age = now - self.entry.up_since_ms
-        if not self.entry.up_since_ms or age >= settings.cold_ms:
+        age_ms = now - self.entry.up_since_ms
+        if not self.entry.up_since_ms or age_ms >= settings.cold_ms:
             return 1.0
-        return settings.start_capacity + (1 - settings.start_capacity) * max(0.0, age / settings.cold_ms)
+        return settings.start_capacity + (1 - settings.start_capacity) * max(0.0, age_ms / settings.cold_ms)
 
 
 class Call:
@@ -571,8 +571,8 @@
     def refuse(self, now: float, call: Call, why: Why) -> None:
         """Refuse a request as its final answer, with a time to retry."""
         grace_ms = APPOINTMENT_GRACE_MS * self.settings.marks_retry
-        wait = call.customer.schedule_return(now, call.event.units, grace_ms)
-        self.actions.append(Refuse(call.event.request, wait, why))
+        wait_ms = call.customer.schedule_return(now, call.event.units, grace_ms)
+        self.actions.append(Refuse(call.event.request, wait_ms, why))
         self.calls.pop(call.event.request, None)
 
     def on_external_use(self, now: float, event: ExternalUse) -> None:
@@ -755,9 +755,9 @@
         if warmth < 1 and backend.cold_window != now // s.overload_ms:
             backend.cold_window = now // s.overload_ms
             gateways_per_backend = max(1.0, s.gateways * self.subset_size(ready) / max(1, ready))
-            budget = COLD_BUDGET_FRACTION * s.fall_multiple * warmth * s.overload_ms / gateways_per_backend
+            budget_ms = COLD_BUDGET_FRACTION * s.fall_multiple * warmth * s.overload_ms / gateways_per_backend
             # a backend runs at least one request at a time; a budget below one request is rounded at random
-            backend.cold_budget_ms = budget + self.random.random() * self.mean_work_ms
+            backend.cold_budget_ms = budget_ms + self.random.random() * self.mean_work_ms
         return warmth >= 1 or backend.cold_budget_ms >= work_ms
 
     def choose_backend(self, now: float, call: Call, max_wait_ms: float = inf) -> Backend | None:
@@ -784,10 +784,13 @@
         )
         # limited to the slowness of the fleet: one slow backend is no sign of an overloaded fleet
         slowness = min(fleet, best.slowness[call.event.cls].current(now, fleet))
-        wait = slowness * self.mean_work_ms * self.queue_factor(now, best)
-        finite = max_wait_ms < inf
-        late = (wait + call.work_ms - self.mean_work_ms) / max(1.0, call.aim_at - now) if finite else 0.0
-        excess = max(1.0, wait / max_wait_ms, late)
+        wait_ms = slowness * self.mean_work_ms * self.queue_factor(now, best)
+        limited = max_wait_ms < inf
+        # the expected time of completion, relative to the time left until the aim
+        lateness = (
+            (wait_ms + call.work_ms - self.mean_work_ms) / max(1.0, call.aim_at - now) if limited else 0.0
+        )
+        excess = max(1.0, wait_ms / max_wait_ms, lateness)
         return best if self.random.random() <= excess**-SHEDDING_EXPONENT else None
 
     def dedup_group(self, backend: Backend, cls: RequestClass) -> tuple[Group, int]:
--- a/tamarindfold/config/model.py
+++ b/tamarindfold/config/model.py
@@ -82,7 +82,7 @@
     path: Annotated[str, Meta(pattern=r"^/")]
     cls: Identifier = field(name="class")
     scope: str = ""  # required scopes, space-separated (RFC 6749 section 3.3)
-    led_only: bool = False  # served only with a lease, which ensures that the settings are in force
+    led_only: bool = False  # requires a lease on agreed settings, without which they may be out of date
 
 
 class PlanConfig(Section, frozen=True):
--- a/tamarindfold/supervisor/driver.py
+++ b/tamarindfold/supervisor/driver.py
@@ -114,9 +114,9 @@
                     self.output("stopping")
                     self._apply(self.policy.stop(self.now()))
                     continue
-                wait = min(MAX_WAIT_S, max(0.001, (self.policy.next_at() - self.now()) / 1000))
+                wait_s = min(MAX_WAIT_S, max(0.001, (self.policy.next_at() - self.now()) / 1000))
                 try:
-                    event, name, detail = self.events.get(timeout=wait)
+                    event, name, detail = self.events.get(timeout=wait_s)
                 except Empty:
                     self._apply(self.policy.tick(self.now()))
                     continue
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -197,7 +197,7 @@
     assert len(c.appointments) == 1
 
 
-def test_a_try_beyond_the_bucket_is_refused_with_a_return_time() -> None:
+def test_a_try_beyond_the_bucket_is_refused_with_a_retry_time() -> None:
     g = gateway(*range(1, 30), plans=(PLAN,))
     sent = refused = 0
     for n in range(20):
