--- a/tamarindfold/counter/driver.py
+++ b/tamarindfold/counter/driver.py
@@ -42,11 +42,11 @@
         self.greenlets = [gevent.spawn(loop) for loop in loops]
 
     def call(self, count: Count) -> None:
-        made = self.pipeline.call(self.clock(), count)
-        if isinstance(made, CountAnswered):
-            self.report(made)
+        result = self.pipeline.call(self.clock(), count)
+        if isinstance(result, CountAnswered):
+            self.report(result)
             return
-        self._send(made)
+        self._send(result)
         self.call_sent.set()
 
     def _send(self, data: bytes) -> None:
@@ -66,7 +66,7 @@
         self.link.maintain(self._read_replies, self._lost)
 
     def _read_replies(self, sock: socket.socket) -> None:
-        """Report the answers that come on one connection until it ends."""
+        """Report the answers received on one connection until it ends."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(None)
         reader = hiredis.Reader()
@@ -108,12 +108,12 @@
     def _watch(self) -> None:
         """Time out calls, and disconnect when the oldest reply is overdue for too long."""
         while True:
-            due = self.pipeline.next_due()
-            if due is None:
+            due_ms = self.pipeline.next_due()
+            if due_ms is None:
                 self.call_sent.wait()
                 self.call_sent.clear()
                 continue
-            gevent.sleep(max(0.0, due - self.clock()) / 1000)
+            gevent.sleep(max(0.0, due_ms - self.clock()) / 1000)
             now = self.clock()
             for answer in self.pipeline.due(now):
                 self.report(answer)
--- a/tamarindfold/counter/pipeline.py
+++ b/tamarindfold/counter/pipeline.py
@@ -1,7 +1,7 @@
 """Matches replies with calls on one pipelined connection. No I/O, no clock; times are in milliseconds.
 
 A call that timed out is never sent again. Its late reply is still matched with it and dropped, so that the
-replies behind it go to the right calls. The dialect defines the commands of a call.
+replies after it go to the right calls. The dialect defines the commands of a call.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 @dataclass(slots=True)
 class _Call:
-    """A call or ping that was sent; `at` is the time of sending."""
+    """A call or ping that was sent."""
 
     name: int
-    at: float
+    sent_ms: float
     answered: bool = False  # its answer was reported to the caller
     replies: int = 0  # received so far
     keepalive: bool = False  # a ping, not a call
@@ -31,7 +31,7 @@
 def part_index(name: int, parts: int) -> int:
     """The part that holds a name, the same at every gateway.
 
-    The name is hashed, since names that differ in only a few bits must be spread evenly, too.
+    The name is hashed so that names that differ in only a few bits are spread evenly too.
     """
     mixed = (name ^ name >> 33) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     return (mixed >> 32) % parts
@@ -122,7 +122,7 @@
 
     def _answer(self, now: float, call: _Call, value: object) -> CountAnswered:
         """A finite number is the total; for an error the dialect decides whether nothing was added."""
-        elapsed_ms = now - call.at
+        elapsed_ms = now - call.sent_ms
         if isinstance(value, bytes | str | int | float) and not isinstance(value, bool):
             try:
                 total = float(value)
@@ -138,27 +138,27 @@
     def due(self, now: float) -> list[CountAnswered]:
         """Time out calls and return their answers; the amounts may have been added."""
         answers = []
-        while self.waiting and (self.waiting[0].answered or now >= self.waiting[0].at + self.timeout_ms):
+        while self.waiting and (self.waiting[0].answered or now >= self.waiting[0].sent_ms + self.timeout_ms):
             call = self.waiting.popleft()
             if not call.answered:
                 call.answered = True
-                answers.append(CountAnswered(call.name, Outcome.TIMEOUT, now - call.at, 0.0))
+                answers.append(CountAnswered(call.name, Outcome.TIMEOUT, now - call.sent_ms, 0.0))
         return answers
 
     def next_due(self) -> float | None:
         """When the next call times out; None if no call is waiting."""
         self._discard_answered()
-        return self.waiting[0].at + self.timeout_ms if self.waiting else None
+        return self.waiting[0].sent_ms + self.timeout_ms if self.waiting else None
 
     def stuck(self, now: float) -> bool:
         """Whether the oldest reply is so late that the connection should be replaced."""
-        return bool(self.calls) and now >= self.calls[0].at + STUCK_TIMEOUTS * self.timeout_ms
+        return bool(self.calls) and now >= self.calls[0].sent_ms + STUCK_TIMEOUTS * self.timeout_ms
 
     def lost(self, now: float) -> list[CountAnswered]:
         """The connection is lost: fail all outstanding calls; their amounts may have been added."""
         self.connected = self.corrupted = False
         answers = [
-            CountAnswered(call.name, Outcome.RESET, now - call.at, 0.0)
+            CountAnswered(call.name, Outcome.RESET, now - call.sent_ms, 0.0)
             for call in self.calls
             if not call.answered
         ]
--- a/tamarindfold/ingress/admin.py
+++ b/tamarindfold/ingress/admin.py
@@ -1,7 +1,7 @@
-"""Health and counters over HTTP, on a listener and threads separate from the event loop.
+"""Health, readiness and counters over HTTP, on a listener and threads separate from the event loop.
 
-gevent does not patch this process, so these are system threads and sockets: they answer, and report it, while
-the event loop is busy or blocked. They only read the gateway's state.
+gevent does not patch this process, so these are system threads and sockets: they respond even while the event
+loop is busy or blocked, and report that state. They only read the gateway's state.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 class ObservedGateway(Protocol):
     """What the admin endpoints need of a running gateway."""
 
-    last_loop_turn_s: float  # when its event loop last ran; monotonic clock, in seconds
+    last_loop_turn_s: float  # when its event loop last ran, by time.monotonic()
 
     @property
-    def why_not_ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why requests can't be decided now; empty if they can."""
 
     def counts(self) -> dict[str, Any]:
@@ -67,7 +67,7 @@
                 "turned_ms_ago": round(age_ms),
             }
         if path == "/ready":
-            reason = self.ingress.why_not_ready
+            reason = self.ingress.not_ready_reason
             return (503 if reason else 200), {"status": reason or "ready"}
         if path == "/counts":
             return 200, self.ingress.counts()
--- a/tamarindfold/ingress/admission.py
+++ b/tamarindfold/ingress/admission.py
@@ -22,7 +22,7 @@
     (names.REQUEST, names.UNITS, names.RETRY, names.TIME_LEFT, names.IDEMPOTENCY_KEY, b"authorization")
 )
 _NOT_FORWARDED = HOP_BY_HOP | {b"host", b"authorization", b"expect"}
-CUSTOMER_BITS = 33  # what the decision module's counter names have room for
+CUSTOMER_BITS = 33  # the decision module's counter names have room for this many
 
 
 class Forbidden(Exception):
@@ -39,7 +39,7 @@
 
     cls: int
     scopes: frozenset[str]  # needed by the route
-    name: bytes
+    name: bytes  # the client's name for the request; empty if it gives none
     units: float
     retry: bool
     time_left_ms: float
@@ -56,7 +56,7 @@
 
 
 def forwardable_headers(headers: Headers) -> Headers:
-    """Headers to pass on: without hop-by-hop headers and without the gateway's own."""
+    """The headers to forward: all but hop-by-hop headers and the gateway's own."""
     kept = [
         pair for pair in headers if pair[0] not in _NOT_FORWARDED and not pair[0].startswith(names.OWN_PREFIX)
     ]
@@ -73,7 +73,7 @@
     def __init__(self, config: GatewayConfig) -> None:
         self.router = Router(config)
         self.customers = config.customers
-        self.deadlines = [c.deadline_ms for c in config.classes]
+        self.deadlines_ms = [c.deadline_ms for c in config.classes]
         self.keyed = [c.effect == "keyed" for c in config.classes]
         self.plans = {plan.name: i for i, plan in enumerate(config.plans)}
         self.width = config.customers.width or config.instance.gateways
@@ -100,8 +100,8 @@
         units = self._number(found, names.UNITS, self.customers.default_units)
         if units > self.customers.most_units:
             raise Rejected(400, f"tamarind-units: over {self.customers.most_units}")
-        deadline = self.deadlines[target.cls]
-        time_left = min(deadline, self._number(found, names.TIME_LEFT, deadline))
+        deadline_ms = self.deadlines_ms[target.cls]
+        time_left_ms = min(deadline_ms, self._number(found, names.TIME_LEFT, deadline_ms))
         kept = forwardable_headers(request.headers)
         if self.key_header:
             kept = [pair for pair in kept if pair[0] != self.key_header]
@@ -111,7 +111,7 @@
             name,
             units,
             retry == b"1",
-            time_left,
+            time_left_ms,
             found.get(b"authorization"),
             found.get(self.key_header),
             kept,
--- a/tamarindfold/ingress/authentication.py
+++ b/tamarindfold/ingress/authentication.py
@@ -18,7 +18,7 @@
 from tamarindfold.introspection.driver import Inactive, Introspector, Unknown
 
 REGISTRY_RETRY_AFTER_MS = 1000.0
-MAX_LOGGED_CLIENTS = 10_000  # clients remembered, so that a contradiction is logged once for each
+MAX_LOGGED_CLIENTS = 10_000  # clients whose contradiction was logged, so that each is logged once
 
 
 class Unauthorized(Exception):
@@ -44,7 +44,7 @@
     customer: int
     plan: int
     valid_until_ms: float
-    known: ResolvedCredential | None = None
+    credential: ResolvedCredential | None = None  # the registry's entry, if a registry is configured
 
 
 class Authenticator:
@@ -62,7 +62,7 @@
         self.logged_clients: OrderedDict[str, None] = OrderedDict()
 
     def apply(self, config: GatewayConfig, has_lease: bool) -> None:
-        """Switch to these settings. has_lease: they are known to be in force."""
+        """Switch to these settings; has_lease: whether they are known to be in force."""
         self.admission = Admission(config)
         self.admission.router.has_lease = has_lease
         self.stale_ok = [c.unchecked == "stale" for c in config.classes]
--- a/tamarindfold/ingress/backend_adapter.py
+++ b/tamarindfold/ingress/backend_adapter.py
@@ -16,7 +16,7 @@
 
 
 @lru_cache(maxsize=4096)
-def _server(backend: int) -> tuple[tuple[str, int], bytes]:
+def _address_and_host(backend: int) -> tuple[tuple[str, int], bytes]:
     """The address of a server and the value of its Host header."""
     host, port = backend_address(backend)
     return (host, port), f"{host}:{port}".encode()
@@ -31,14 +31,14 @@
         self.settings, self.log = settings, log
 
     def address(self, backend: int) -> tuple[str, int]:
-        return _server(backend)[0]
+        return _address_and_host(backend)[0]
 
     def process_identity(self, backend: int) -> object:
         return None  # the number is the address, and a restart of the process closes its connections
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
         cls = self.settings().classes[exchange.cls].name.encode()
-        own = [
+        gateway_headers = [
             (names.REQUEST, exchange.name),
             (names.ATTEMPT, b"%d" % attempt),
             (names.CUSTOMER, b"%d" % exchange.customer),
@@ -48,7 +48,11 @@
             (names.TIME_LEFT, b"%d" % left_ms),
         ]
         return write.request(
-            exchange.method, exchange.target, _server(backend)[1], exchange.headers + own, exchange.body
+            exchange.method,
+            exchange.target,
+            _address_and_host(backend)[1],
+            exchange.headers + gateway_headers,
+            exchange.body,
         )
 
     def plan(self, number: int) -> bytes:
--- a/tamarindfold/ingress/background.py
+++ b/tamarindfold/ingress/background.py
@@ -1,4 +1,4 @@
-"""Runs background jobs in short slices beside the request path; `ds.scheduler` decides which one and when."""
+"""Runs background jobs in short slices beside the request path; `ds.scheduler` decides which runs when."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 class Background:
     """Runs all background jobs in one greenlet."""
 
-    def __init__(self, part: float, log: Callable[..., None]) -> None:
-        """part: the fraction of time that all jobs together may use."""
-        self.scheduler, self.log = Scheduler(part), log
+    def __init__(self, time_fraction: float, log: Callable[..., None]) -> None:
+        """time_fraction: the share of the time that all jobs together may use."""
+        self.scheduler, self.log = Scheduler(time_fraction), log
         self._greenlet: gevent.Greenlet | None = None
 
     def add(
         self,
         name: str,
         begin: Callable[[], Iterator[float | None] | None],
-        every_ms: float,
+        interval_ms: float,
         priority: int = 0,
     ) -> Job:
         """Add a job; `begin` returns an iterator over its slices, or does all the work and returns None."""
@@ -40,7 +40,7 @@
             if slices is not None:
                 yield from slices
 
-        return self.scheduler.add(Job(name, work, every_ms, priority), precise_ms())
+        return self.scheduler.add(Job(name, work, interval_ms, priority), precise_ms())
 
     def start(self) -> None:
         """Start running jobs."""
--- a/tamarindfold/ingress/connection.py
+++ b/tamarindfold/ingress/connection.py
@@ -28,15 +28,15 @@
 from tamarindfold.http1.requests import Rejected, Request, RequestReader
 from tamarindfold.ingress.arrival import receive
 from tamarindfold.ingress.core import Core
-from tamarindfold.ingress.exchange import Exchange, Failed, Final, ClientLeft
+from tamarindfold.ingress.exchange import ClientLeft, Exchange, Failed, Final
 from tamarindfold.ingress.timers import Timers
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# After an early last response input is read for this long: unread input would reset the connection, and the
-# client would lose the response.
+# After a response that ends the connection early, input is read for this long: unread input would reset the
+# connection, and the client would lose the response.
 LINGER_S = 0.5
-# Where the decision module is late, the connection answers by itself when the answer margin divided by this
-# is left before the deadline.
+# If the decision module is late, the connection responds on its own once only the answer margin divided by
+# this is left before the deadline.
 OVERDUE_MARGIN_DIVISOR = 3.0
 READ_BYTES = 65_536
 MAX_READS_PER_CHECK = 16  # of READ_BYTES each: more than a client's socket buffer holds
@@ -98,8 +98,10 @@
         self.connection_type: Callable[[Any, socket.socket, str], ClientConnection] = ClientConnection
         self.clients = GreenletPool(connections)  # from acceptance to close
         self.in_flight = 0  # requests read and not yet answered
-        self.reading: dict[ClientConnection, None] = {}  # connections waiting for a request or its remainder
-        self.idle: dict[ClientConnection, float] = {}  # those without a byte of it yet, and since when
+        self.reading: dict[
+            ClientConnection, None
+        ] = {}  # connections waiting for a request or the rest of one
+        self.idle: dict[ClientConnection, float] = {}  # those that have no byte of it yet, and since when
         self.counts = dict.fromkeys(
             ("connections", "requests", "rejected", "full", "overdue", "ahead", "ahead_full"), 0
         )
@@ -124,7 +126,7 @@
     def stop(self, server: StreamServer) -> None:
         """Stop accepting connections, after serving what has arrived already.
 
-        Open connections read once more without waiting, so that idle ones free their places. Then the accept
+        Open connections read once more without waiting, so that idle ones make room. Then the accept
         queue is emptied, since closing the listener would reset the connections in it; they start with
         `no_wait` set. Yields only while the pool `clients` is full.
         """
@@ -230,15 +232,15 @@
         if reader.closing:
             return None
         self.no_wait = front.no_wait
-        began = front.clock()
-        timer = front.timers.schedule(began + self.phase_timeout_ms(0), self.stop_waiting)
-        phase = continued = 0  # phases: 0 idle, 1 header, 2 body
+        idle_since_ms = front.clock()
+        timer = front.timers.schedule(idle_since_ms + self.phase_timeout_ms(0), self.stop_waiting)
+        phase = sent_continue = 0  # phases: 0 idle, 1 header, 2 body
         front.reading[self] = None
-        front.idle[self] = began
+        front.idle[self] = idle_since_ms
         try:
             while not reader.ready:
-                if reader.wants_continue and not continued:
-                    continued = 1
+                if reader.wants_continue and not sent_continue:
+                    sent_continue = 1
                     self.sock.sendall(CONTINUE)
                 data = self._read_bytes()
                 if not data:
@@ -265,9 +267,9 @@
         return reader.ready.popleft()
 
     def _read_bytes(self) -> bytes:
-        """Next bytes from the client, those first that `check_client` has kept for this request.
+        """The next bytes from the client; those that `check_client` has kept come first.
 
-        Empty at the end of the stream, or if `no_wait` is set and nothing is there.
+        Empty at the end of the stream, or if `no_wait` is set and the socket buffer is empty.
         """
         if self.pipelined_data:
             data, self.last_byte_ms = b"".join(self.pipelined_data), self.pipelined_last_byte_ms
@@ -278,7 +280,7 @@
                 data, self.last_byte_ms = receive(self.sock, READ_BYTES, self.front.clock)
                 return data
             except TimeoutError:
-                pass  # raised by stop_waiting; void if bytes came in the same loop turn and reset no_wait
+                pass  # raised by stop_waiting; no_wait is unset if bytes came in the same loop iteration
         try:
             data, self.last_byte_ms = receive(self.sock._sock, READ_BYTES, self.front.clock)
         except BlockingIOError:
@@ -338,13 +340,13 @@
         sender = front.core.sender
         assert sender is not None
         # The decision module answers in time; if it does not, the client still gets exactly one response.
-        overdue = exchange.deadline_ms - self.limits.answer_margin_ms / OVERDUE_MARGIN_DIVISOR
+        overdue_at_ms = exchange.deadline_ms - self.limits.answer_margin_ms / OVERDUE_MARGIN_DIVISOR
         try:
             front.core.submit(exchange)
             while exchange.pending_attempts or exchange.final is None:
                 if exchange.pending_attempts:
                     sender.run(exchange.pending_attempts.pop(0))
-                elif not self._wait_for_progress(exchange, overdue):
+                elif not self._wait_for_progress(exchange, overdue_at_ms):
                     front.counts["overdue"] += 1
                     front.log("request.overdue", request=exchange.name.decode())
                     front.core.withdraw(exchange, Failed(True))
@@ -355,16 +357,16 @@
         assert exchange.final is not None
         return front.renderer.final(exchange.final, exchange.name, self.keep_alive, exchange.method == "HEAD")
 
-    def _wait_for_progress(self, exchange: Exchange, until: float) -> bool:
-        """Wait for an attempt to run or for the final outcome; False if neither came by `until`."""
+    def _wait_for_progress(self, exchange: Exchange, until_ms: float) -> bool:
+        """Wait for an attempt to run or for the final outcome; False if neither came by `until_ms`."""
         if exchange.wakeup is None:
             exchange.wakeup = Event()
         exchange.wakeup.clear()
-        woken: bool = exchange.wakeup.wait(max(0.0, until - self.front.clock()) / 1000)
+        woken: bool = exchange.wakeup.wait(max(0.0, until_ms - self.front.clock()) / 1000)
         return woken
 
     def _watch_client(self, exchange: Exchange) -> None:
-        """From now on a disconnect of the client withdraws this request."""
+        """Withdraw this request if the client disconnects from now on."""
         self.exchange, self.pipelined = exchange, False
         exchange.check_client = self.check_client
         if self.watcher is None:
--- a/tamarindfold/ingress/core.py
+++ b/tamarindfold/ingress/core.py
@@ -39,8 +39,10 @@
     Count,
     CountAnswered,
     Event,
+    ExternalUse,
     Fail,
     FleetUpdate,
+    GatewayStalled,
     ListKind,
     Log,
     Outcome,
@@ -51,9 +53,7 @@
     SetTimer,
     Settings,
     SettingsChanged,
-    GatewayStalled,
     TimerFired,
-    ExternalUse,
     Why,
 )
 from tamarindfold.limits.open_requests import OpenRequestLimits
@@ -118,7 +118,7 @@
         self.open_exchanges: dict[int, Exchange] = {}
         self.withdrawn: dict[int, Exchange] = {}  # ended, but the decision module has not processed it yet
         self.fleet: dict[int, BackendEntry] = {}
-        # processed before all other events that are waiting
+        # processed before all events in `events`
         self.priority_events: deque[FleetUpdate | SettingsChanged | GatewayStalled] = deque()
         self.events: deque[Event] = deque()
         self.processing = False
@@ -129,7 +129,7 @@
         # end of the lease on the settings, in milliseconds of time.monotonic(); None without a lease
         self.lease_until_ms: float | None = None
         self.on_lease_end: Callable[[], None] = lambda: None  # called before any further decision
-        self.event_time_ms = 0.0  # when the event being processed was passed to the decision module
+        self.event_time_ms = 0.0  # when the event being processed was passed on, by the gateway clock
         self.is_credential_valid: Callable[[Any], bool] | None = None
         self.last_request_number = 0
         self.limits = OpenRequestLimits(gateway.settings.gateways, gateway.settings.index)
@@ -160,7 +160,7 @@
     # ---- events from the drivers
 
     def submit(self, exchange: Exchange) -> None:
-        """Take a request over and post its arrival, unless the customer is at its limit of open requests."""
+        """Post a request's arrival, or refuse it if the customer is at its limit of open requests."""
         self.open_exchanges[exchange.number] = exchange
         self.counts["arrived"] += 1
         gateways = self.gateway.settings.gateways
@@ -303,7 +303,7 @@
         if not self.resumed.is_set():
             self.resumed.wait()
         if exchange.check_client is not None:
-            exchange.check_client()  # the client may have disconnected in this turn of the loop
+            exchange.check_client()  # the client may have disconnected in this loop iteration
         if exchange.final is not None:
             return "request already answered"
         if self.clock() >= exchange.give_up_ms:
--- a/tamarindfold/ingress/exchange.py
+++ b/tamarindfold/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""A client request while the gateway holds it, and the possible final answers."""
+"""A client request while the gateway processes it, and the possible final outcomes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """It is unknown whether the request ran; late: its time ran out."""
+    """It is unknown whether the request ran; late: whether its time ran out."""
 
     late: bool
 
@@ -59,13 +59,13 @@
 class Exchange:
     """A request that the decision module is handling. Times are in the gateway clock's milliseconds."""
 
-    number: int
-    name: bytes  # the request's name towards the client and the servers
+    number: int  # unique within this process
+    name: bytes  # the request's name in headers, chosen by the sender or assigned by the gateway
     cls: int
     customer: int
     plan: int
     units: float
-    width: int
+    width: int  # number of gateways that the customer is spread over
     retry: bool
     deadline_ms: float  # when the client gives up
     give_up_ms: float  # when the decision module must have answered
@@ -74,9 +74,7 @@
     headers: Headers
     body: bytes
     token_until_ms: float = math.inf
-    credential: Any = (
-        None  # the registry's entry for the credential (identity.resolve.ResolvedCredential), if any
-    )
+    credential: Any = None  # the registry's entry (identity.resolve.ResolvedCredential), if any
     first_gateway: int | None = None  # first gateway of the customer's set, if the client names it
     attempts: int = 0
     written: int = 0  # attempts of which at least one byte was sent
@@ -95,7 +93,7 @@
             self.wakeup.set()
 
     def finish(self, final: Final) -> bool:
-        """Set the final answer; False if there already was one."""
+        """Set the final outcome; False if there already was one."""
         if self.final is not None:
             return False
         self.final = final
--- a/tamarindfold/ingress/forward_auth.py
+++ b/tamarindfold/ingress/forward_auth.py
@@ -1,4 +1,4 @@
-"""The forward-auth front: proxies ask it about each request, and it permits the request or refuses it.
+"""The forward-auth front: proxies send it a sub-request for each request, which it permits or refuses.
 
 It shares authentication, core and decision module with the proxy front. A permit names the chosen server and
 is an attempt that the proxy carries out, whose outcome the proxy reports. A permit without a report lapses,
@@ -21,10 +21,10 @@
 from tamarindfold.forward.gate import Gate
 from tamarindfold.forward.original import OriginalRequestHeaders, parse_original_request
 from tamarindfold.forward.permits import (
-    SubRequestStep,
-    UnpermittedUse,
     Permits,
     ReportResult,
+    SubRequestStep,
+    UnpermittedUse,
     attempt_outcome,
 )
 from tamarindfold.forward.reports import Report, parse_reports
@@ -35,7 +35,7 @@
 from tamarindfold.ingress.admission import RequestParameters
 from tamarindfold.ingress.authentication import Authenticator
 from tamarindfold.ingress.core import Core
-from tamarindfold.ingress.exchange import Exchange, Failed, Final, PermitLapsed, ClientLeft, Refused, Served
+from tamarindfold.ingress.exchange import ClientLeft, Exchange, Failed, Final, PermitLapsed, Refused, Served
 from tamarindfold.ingress.front import AuthenticatedConnection, Front, Overloaded
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.ingress.upstream import Attempt
@@ -58,14 +58,17 @@
 
 @dataclass(slots=True)
 class Decision:
-    """A pending decision, which repeated sub-requests wait for. `response`: None if the first asker left."""
+    """A decision that repeated sub-requests wait for.
+
+    `response` stays None if the connection of the first sub-request ended before the decision.
+    """
 
     made: Event
     response: bytes | None = None
 
 
 class ForwardAuthFront(Front):
-    """Answers sub-requests of proxies and takes their reports."""
+    """Answers sub-requests of proxies and receives their reports."""
 
     def __init__(
         self,
@@ -99,24 +102,24 @@
         self.counts |= {"untrusted": 0, "permits": 0, "bodies_not_come": 0, "pressed": 0, "in_doubt": 0}
 
     def apply_report(self, report: Report) -> ReportResult:
-        """Apply a proxy's report; returns what became of it."""
+        """Apply a proxy's report and return the result."""
         result, found = self.permits.report(report, self.clock())
         if isinstance(found, Permit):
-            self._settle_permit(found, report)
+            self._conclude_permit(found, report)
         elif isinstance(found, UnpermittedUse):
             self.charge_unpermitted_use(found)
         return result
 
-    def _settle_permit(self, permit: Permit, report: Report) -> None:
+    def _conclude_permit(self, permit: Permit, report: Report) -> None:
         result = attempt_outcome(report)
         served = Served(report.status, [], b"") if result is Outcome.OK else None
         if served is None:  # the proxy has answered its client: there is no further attempt
             self.core.withdraw(permit.attempt.exchange, Failed(False))
         self._end_attempt(permit, result, report.elapsed_ms, served, report.units)
 
-    def charge_unpermitted_use(self, owed: UnpermittedUse) -> None:
+    def charge_unpermitted_use(self, use: UnpermittedUse) -> None:
         """Count a request that the proxy let through without a permit."""
-        self.core.record_unpermitted_use(owed.customer, owed.plan, owed.units, self.width)
+        self.core.record_unpermitted_use(use.customer, use.plan, use.units, self.width)
 
     def lapse_permit(self, name: str, until_ms: float) -> None:
         """End a permit whose report did not arrive in time."""
@@ -174,7 +177,7 @@
                 front.counts["untrusted"] += 1
                 raise Rejected(403, "this peer's word is not believed")
             if request.target == REPORT:
-                return self._take_reports(request)
+                return self._handle_reports(request)
             original_request = parse_original_request(request, front.names)
             client = front.trust.client_address(self.peer, request.headers)
             name = request.get(front.name_header)
@@ -189,7 +192,7 @@
             original_request.headers = [*kept, (names.REQUEST, name)]
         return self._answer_sub_request(original_request, client)
 
-    def _take_reports(self, request: Request) -> bytes:
+    def _handle_reports(self, request: Request) -> bytes:
         """POST /report: one report, or one a line; if any of them is invalid, 400 and none is applied."""
         if request.method != "POST":
             raise Rejected(405, "reports are posted")
@@ -218,7 +221,7 @@
                 self.front.gate.leave()
 
     def _reserve_slot(self, parameters: RequestParameters) -> None:
-        """Checks the front's own load before anything costly is done for the request."""
+        """Check the front's own load before anything costly is done; raises Overloaded."""
         wait = self.front.gate.enter(parameters.cls)
         if wait is not None:
             self.front.counts["pressed"] += 1
@@ -243,7 +246,7 @@
                 if first.made.wait(max(0.0, self._decision_deadline_ms(exchange) - front.clock()) / 1000):
                     if first.response is not None:
                         return first.response
-                    continue  # the first asker left and nothing was counted: decide it here
+                    continue  # the first sub-request was abandoned and nothing was counted: decide here
                 return self._render_refusal(exchange, Refused(front.section.decide_ms, Why.PRESSURE))
             if step is SubRequestStep.LIMIT_REACHED:
                 front.counts["full"] += 1
@@ -294,11 +297,11 @@
         If the proxy has already reported the request, it let it through on its own: the use is counted.
         """
         front = self.front
-        owed = front.permits.refuse(
+        unpermitted_use = front.permits.refuse(
             name, UnpermittedUse(exchange.customer, exchange.plan, exchange.units), front.clock()
         )
-        if owed is not None:
-            front.charge_unpermitted_use(owed)
+        if unpermitted_use is not None:
+            front.charge_unpermitted_use(unpermitted_use)
         response = self._render_refusal(exchange, final)
         if not isinstance(final, ClientLeft):
             decision.response = response
@@ -335,18 +338,18 @@
             host, port = backend_address(attempt.backend)
             headers.append((names.SERVER, f"{host}:{port}".encode()))
         response = decision.response = write.response(200, headers, b"", True)
-        until = exchange.deadline_ms + section.lapse_ms if front.selects_server else now + section.hold_ms
+        until_ms = exchange.deadline_ms + section.lapse_ms if front.selects_server else now + section.hold_ms
         permit = Permit(attempt, response)
         front.counts["permits"] += 1
         exchange.written += 1
-        early_report = front.permits.grant(name, permit, until)
+        early_report = front.permits.grant(name, permit, until_ms)
         decision.made.set()
         if early_report is not None:
             front.apply_report(early_report)
-        elif until <= now:
-            front.lapse_permit(name, until)
+        elif until_ms <= now:
+            front.lapse_permit(name, until_ms)
         else:
-            front.timers.schedule(until, partial(front.lapse_permit, name, until))
+            front.timers.schedule(until_ms, partial(front.lapse_permit, name, until_ms))
         return response
 
     def _verification_deadline_ms(self) -> float:
--- a/tamarindfold/ingress/front.py
+++ b/tamarindfold/ingress/front.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from tamarindfold.config.model import GatewayConfig
-from tamarindfold.forward.networks import NetworkRules, NetworkRule
+from tamarindfold.forward.networks import NetworkRule, NetworkRules
 from tamarindfold.http1.requests import Rejected, Request
 from tamarindfold.ingress import headers as names
 from tamarindfold.ingress import responses
@@ -72,14 +72,14 @@
             parameters = front.authenticator.admission.read(request)
             front.core.last_request_number = number = front.core.last_request_number + 1
             name = parameters.name or front.name_prefix + b"%x" % number
-            deadline = self.first_byte_ms + parameters.time_left_ms
-            give_up = deadline - self.limits.answer_margin_ms
+            deadline_ms = self.first_byte_ms + parameters.time_left_ms
+            give_up_ms = deadline_ms - self.limits.answer_margin_ms
             self._reserve_slot(parameters)
             rule = front.networks.find(peer) if front.networks is not None else None
             if rule is not None and rule.refuse:
                 raise Forbidden("this network is not served")
             principal = front.authenticator.authenticate(
-                parameters, min(give_up, self._verification_deadline_ms()), peer
+                parameters, min(give_up_ms, self._verification_deadline_ms()), peer
             )
         except Rejected as fault:
             front.counts["rejected"] += 1
@@ -99,7 +99,7 @@
             return responses.refused(
                 503, "Credential not checked", fault.detail, fault.retry_after_ms, name, self.keep_alive
             )
-        if front.clock() > deadline:  # authentication used up the time: the client has stopped waiting
+        if front.clock() > deadline_ms:  # authentication used up the time: the client has stopped waiting
             front.counts["unchecked"] += 1
             return responses.refused(
                 503, "Credential not checked", "the time ran out", 1.0, name, self.keep_alive
@@ -119,21 +119,21 @@
             parameters.units,
             front.width,
             parameters.retry,
-            deadline,
-            give_up,
+            deadline_ms,
+            give_up_ms,
             request.method,
             request.target,
             headers,
             request.body,
             principal.valid_until_ms,
-            principal.known,
+            principal.credential,
         )
 
     def _reserve_slot(self, parameters: RequestParameters) -> None:
         """Raises Overloaded if the front has no capacity for the request."""
 
     def _verification_deadline_ms(self) -> float:
-        """When credential verification must end, besides the request's own deadline."""
+        """A bound on credential verification in addition to the request's own deadline."""
         return math.inf
 
     def _record_unverified(self, name: bytes) -> None:
--- a/tamarindfold/ingress/managed.py
+++ b/tamarindfold/ingress/managed.py
@@ -28,7 +28,7 @@
 
 
 class ManagedIngress:
-    """Follows the agreement and reconfigures the ingress whenever the settings to act on have changed."""
+    """Follows the agreement and reconfigures the ingress whenever the effective settings change."""
 
     def __init__(self, local: InstanceConfig, log: Callable[..., None]) -> None:
         """Raises OSError, ValueError or NoAgreedSettings if the instance's files are unusable."""
@@ -57,37 +57,37 @@
             raise NoAgreedSettings(str(error)) from None
 
     def create(self) -> Ingress:
-        """The ingress, not started yet; raises NoAgreedSettings if there is nothing to act on in time."""
+        """The ingress, not started yet; raises NoAgreedSettings if no settings are available in time."""
         self.agreement.start()
         with gevent.Timeout(self.local.agreement.join_ms / 1000, False):
             while not self._has_lease():
                 gevent.sleep(LEASE_POLL_INTERVAL_S)
-        acting = self.agreement.effective_settings()
-        if acting is None or not acting.share:
+        effective = self.agreement.effective_settings()
+        if effective is None or not effective.share:
             reason = self.agreement.join_error or (
                 "no keeper answered, and there is no copy on disk"
-                if acting is None
-                else f"no place in the roster: {acting.why}"
+                if effective is None
+                else f"no place in the roster: {effective.why}"
             )
             self.agreement.stop()
             raise NoAgreedSettings(reason)
         try:
-            config = self._config(acting)
+            config = self._config(effective)
         except ValueError as error:
             self.agreement.stop()
-            raise NoAgreedSettings(f"version {acting.version}: {error}") from None
-        self.last_valid = acting.document
+            raise NoAgreedSettings(f"version {effective.version}: {error}") from None
+        self.last_valid = effective.document
         self.ingress = Ingress(config, self.log, number=crc32(self.agreement.name.encode()))
         self.ingress.core.on_lease_end = self.on_change
         self.ingress.agreement_obstacle, self.ingress.agreement_counts = self._obstacle, self.counts
-        self._apply(acting, True)
+        self._apply(effective, True)
         return self.ingress
 
     def _has_lease(self) -> bool:
         """Whether there is a lease. Without reachable keepers `create` waits until its time-out, so that it
-        uses the copy on disk only when no keeper answers."""
-        acting = self.agreement.effective_settings()
-        return acting is not None and acting.has_lease
+        uses the copy on disk only if no keeper answers."""
+        effective = self.agreement.effective_settings()
+        return effective is not None and effective.has_lease
 
     def leave(self) -> None:
         """Leave the roster; the ingress must have stopped."""
@@ -96,15 +96,15 @@
     def _obstacle(self) -> str:
         return "" if self.applied is not None and self.applied.share else "no place in the roster"
 
-    def _config(self, acting: EffectiveSettings) -> GatewayConfig:
-        return merged(self.local, acting.document, acting.gateways, acting.index)
+    def _config(self, effective: EffectiveSettings) -> GatewayConfig:
+        return merged(self.local, effective.document, effective.gateways, effective.index)
 
     def on_change(self) -> None:
-        """Apply what is to be acted on now; called on each update and whenever a lease may have ended."""
+        """Apply the settings now in effect; called on each update and whenever a lease may have ended."""
         self._check_next_version()
-        acting = self.agreement.effective_settings()
-        if acting is not None and self.ingress is not None:
-            self._apply(acting)
+        effective = self.agreement.effective_settings()
+        if effective is not None and self.ingress is not None:
+            self._apply(effective)
 
     def _check_next_version(self) -> None:
         """Check whether the next version can be applied here, and report the result."""
@@ -126,40 +126,40 @@
             return str(error)
         return ""
 
-    def _apply(self, acting: EffectiveSettings, newcomer: bool = False) -> None:
+    def _apply(self, effective: EffectiveSettings, newcomer: bool = False) -> None:
         assert self.ingress is not None
         core = self.ingress.core
-        core.lease_until_ms = self.agreement.lease_until_ms if acting.has_lease else None
+        core.lease_until_ms = self.agreement.lease_until_ms if effective.has_lease else None
         before = self.applied
-        if acting == before:
+        if effective == before:
             return
-        self.applied = acting
-        has_lease = acting.has_lease
+        self.applied = effective
+        has_lease = effective.has_lease
         try:
-            config = self._config(acting)
-            self.last_valid = acting.document
+            config = self._config(effective)
+            self.last_valid = effective.document
         except ValueError as error:
             # An operator forced a version that is invalid here: keep the last valid settings, made cautious,
             # with the current share.
-            self.log("agreement.cannot_apply", version=acting.version, reason=str(error))
+            self.log("agreement.cannot_apply", version=effective.version, reason=str(error))
             assert self.last_valid is not None
             has_lease = False
-            config = merged(self.local, forbid_repeats(self.last_valid), acting.gateways, acting.index)
+            config = merged(self.local, forbid_repeats(self.last_valid), effective.gateways, effective.index)
         self.ingress.apply(config, has_lease, newcomer)
         if before is None or (before.version, before.has_lease, before.gateways, before.index) != (
-            acting.version,
-            acting.has_lease,
-            acting.gateways,
-            acting.index,
+            effective.version,
+            effective.has_lease,
+            effective.gateways,
+            effective.index,
         ):
             self.log(
                 "agreement.acting",
-                version=acting.version,
-                led=acting.has_lease,
-                gateways=acting.gateways,
-                index=acting.index,
-                number=acting.number,
-                why=acting.why,
+                version=effective.version,
+                led=effective.has_lease,
+                gateways=effective.gateways,
+                index=effective.index,
+                number=effective.number,
+                why=effective.why,
             )
 
     def counts(self) -> dict[str, Any]:
--- a/tamarindfold/ingress/pool.py
+++ b/tamarindfold/ingress/pool.py
@@ -31,7 +31,7 @@
     backend: int
     process_identity: object = None  # of the server process at its other end
     idle_until_ms: float = 0.0
-    used: bool = False
+    used: bool = False  # it was returned to the pool at least once
 
     def is_quiet(self) -> bool:
         """Whether the connection is open and has no unread bytes; checks the socket without waiting."""
@@ -60,12 +60,12 @@
     ) -> None:
         self.idle_ms, self.idle_per_server = idle_ms, idle_per_server
         self.max_per_server = connections_per_server
-        self.connect_s, self.answer_bytes, self.clock = connect_timeout_ms / 1000, answer_bytes, clock
+        self.connect_timeout_s, self.answer_bytes, self.clock = connect_timeout_ms / 1000, answer_bytes, clock
         self.max_total, self.total_open = connections, 0
         self.source = (source_address, 0) if source_address else None
         self.idle: dict[int, list[Connection]] = {}
         self.open: dict[int, int] = {}  # number of connections by server, including idle ones
-        self.last_broken_ms = -math.inf  # when a kept connection was last found unusable
+        self.last_broken_ms = -math.inf  # when an idle or reused connection was last found broken
         self.counts = dict.fromkeys(("opened", "reused", "found_closed", "at_limit"), 0)
 
     def acquire_idle(self, backend: int) -> Connection | None:
@@ -81,7 +81,7 @@
             self.close(connection)
         return None
 
-    def connect(self, backend: int, address: tuple[str, int], within_s: float) -> Connection:
+    def connect(self, backend: int, address: tuple[str, int], timeout_s: float) -> Connection:
         """Open a connection; OSError if that fails or times out, ConnectionLimitReached at a limit.
 
         At a limit an idle connection is closed to make room, if there is one.
@@ -96,7 +96,7 @@
         self.open[backend] = self.open.get(backend, 0) + 1
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            sock.settimeout(max(0.001, min(self.connect_s, within_s)))
+            sock.settimeout(max(0.001, min(self.connect_timeout_s, timeout_s)))
             if self.source is not None:
                 sock.bind(self.source)
             sock.connect(address)
--- a/tamarindfold/ingress/responses.py
+++ b/tamarindfold/ingress/responses.py
@@ -10,7 +10,7 @@
 from tamarindfold.http1.requests import Headers, Rejected
 from tamarindfold.ingress import headers as names
 from tamarindfold.ingress.admission import Forbidden, forwardable_headers
-from tamarindfold.ingress.exchange import TokenExpired, Failed, Final, Refused, Served
+from tamarindfold.ingress.exchange import Failed, Final, Refused, Served, TokenExpired
 from tamarindfold.interface import Why
 from tamarindfold.introspection.bearer import challenge
 
@@ -47,10 +47,10 @@
         }
         | members
     )
-    own = [(b"content-type", b"application/problem+json"), (names.OUTCOME, outcome), *(headers or [])]
+    all_headers = [(b"content-type", b"application/problem+json"), (names.OUTCOME, outcome), *(headers or [])]
     if name:
-        own.append((names.REQUEST, name))
-    return write.response(status, own, body, keep_alive, no_body)
+        all_headers.append((names.REQUEST, name))
+    return write.response(status, all_headers, body, keep_alive, no_body)
 
 
 def refused(
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -22,13 +22,13 @@
 from tamarindfold.identity.model import PlanRow
 from tamarindfold.ingress.admin import Admin
 from tamarindfold.ingress.authentication import Authenticator
+from tamarindfold.ingress.backend_adapter import TamarindBackendAdapter
 from tamarindfold.ingress.background import Background
 from tamarindfold.ingress.clock import SteadyClock
 from tamarindfold.ingress.core import Core
 from tamarindfold.ingress.forward_auth import ForwardAuthFront
 from tamarindfold.ingress.front import Front
 from tamarindfold.ingress.pool import Pool
-from tamarindfold.ingress.backend_adapter import TamarindBackendAdapter
 from tamarindfold.ingress.timers import Timers
 from tamarindfold.ingress.upstream import Upstream
 from tamarindfold.interface import FleetUpdate, ListKind, PlansChanged, Settings
@@ -57,12 +57,12 @@
         make_gateway: Callable[[Settings, int], Gateway] = Gateway,
         number: int | None = None,
     ) -> None:
-        """number: identifies this instance in files and reports if its settings are managed, as its index may
+        """number: identifies the instance in files and reports if its settings are managed: its index may
         change then."""
         self.config, self.log = config, log
         self.number = config.instance.index if number is None else number
         self.managed = number is not None  # settings and index come from the keepers
-        self.agreement_obstacle: Callable[[], str] = str  # why the agreement keeps it from being ready
+        self.agreement_obstacle: Callable[[], str] = str  # why the agreement prevents readiness, or empty
         self.agreement_counts: Callable[[], dict[str, Any]] = dict
         self.steady = SteadyClock()
         clock = self.steady.now
@@ -117,7 +117,7 @@
         self.counter: Counter | None = None
         self.feed: FeedSubscriber | None = None
         self.listener: StreamServer | None = None
-        self.tasks: list[gevent.Greenlet] = []
+        self.greenlets: list[gevent.Greenlet] = []
         self.background = Background(config.recovery.background_part, log)
         self.recorder = self._recorder(config, clock) if config.instance.state_dir else None
 
@@ -164,7 +164,7 @@
         self.background.add("snapshot", self.recorder.snapshot, self.config.recovery.every_ms, priority=1)
 
     def _on_plans(self, rows: list[PlanRow]) -> None:
-        """Hand the registry's plans to the decision module: each version is a plan of its own."""
+        """Pass the registry's plans to the decision module; each version of a plan is a plan of its own."""
         self.core.post(
             PlansChanged(
                 tuple(
@@ -195,7 +195,7 @@
                 config.upstream.source_address,
             )
             self.feed.start()
-            # Wait for the feed before sending by the saved list: servers may have left it since, which was
+            # Wait for the feed before using the saved list: servers may have left since, which the feed
             # announced only to an earlier incarnation.
             if self.core.fleet:
                 self.feed.subscription.wait_for_first_message(config.fleet.first_list_ms, self.log)
@@ -223,7 +223,7 @@
         if self.admin is not None:
             self.admin.start()
             self.log("admin.listening", host=self.admin.host, port=self.admin.port)
-        self.tasks = [gevent.spawn(task) for task in (self._slew_clock, self._measure_lag)]
+        self.greenlets = [gevent.spawn(loop) for loop in (self._slew_clock, self._measure_lag)]
         self.background.add("tidy", self._clean_up, CLEANUP_INTERVAL_MS)
         self.background.add("counts", self._log_periodic_counts, config.log.counts_every_ms)
         self.background.start()
@@ -253,7 +253,8 @@
     def apply(self, config: GatewayConfig, has_lease: bool, newcomer: bool = False) -> None:
         """Switch to another configuration; agreement.document.check_change limits what may differ.
 
-        has_lease: it is known to be in force. newcomer: this instance's share of every quota is new.
+        has_lease: whether it is known to be in force. newcomer: whether this instance has just received its
+        share of the quotas.
         """
         before, self.config = self.config, config
         current = self.core.gateway.settings
@@ -275,19 +276,19 @@
     def stop(self) -> bool:
         """Stop accepting, finish requests in flight, close; False if some were unfinished after `stop_ms`."""
         self.stopping = True
-        until = self.steady.now() + self.config.limits.stop_ms
+        until_ms = self.steady.now() + self.config.limits.stop_ms
         if self.listener is not None:
             self.front.stop(self.listener)
         if self.forward_listener is not None and self.forward_front is not None:
             self.forward_front.stop(self.forward_listener)
         for front in (self.front, self.forward_front):
             if front is not None:
-                front.clients.join(max(0.0, until - self.steady.now()) / 1000)
+                front.clients.join(max(0.0, until_ms - self.steady.now()) / 1000)
         done = not self.in_flight
         if self.admin is not None:
             self.admin.stop()
         self.background.stop()
-        gevent.killall(self.tasks)
+        gevent.killall(self.greenlets)
         if self.recorder is not None and self.core.recorder is not None:
             self.recorder.close()
             self.core.recorder = None
@@ -309,7 +310,7 @@
         return self.front.in_flight + (self.forward_front.in_flight if self.forward_front is not None else 0)
 
     @property
-    def why_not_ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why requests can't be decided now; empty if they can."""
         if self.stopping:
             return "stopping"
@@ -334,12 +335,12 @@
     def _measure_lag(self) -> None:
         """Measure by how much the event loop is late, for overload control, and record that it runs."""
         while True:
-            due = self.steady.now() + LAG_PROBE_INTERVAL_MS
+            due_ms = self.steady.now() + LAG_PROBE_INTERVAL_MS
             gevent.sleep(LAG_PROBE_INTERVAL_MS / 1000)
             self.last_loop_turn_s = time.monotonic()
             self.core.on_loop_turn()
             if self.forward_front is not None:
-                self.forward_front.gate.record_lag(self.steady.now() - due)
+                self.forward_front.gate.record_lag(self.steady.now() - due_ms)
 
     def _log_periodic_counts(self) -> None:
         self._log_counts("ingress.counts")
--- a/tamarindfold/ingress/timers.py
+++ b/tamarindfold/ingress/timers.py
@@ -9,7 +9,7 @@
 
 from tamarindfold.ds.wheel import Timer, TimerWheel
 
-STALL_MS = 300.0  # a turn that is this late means that the process was stalled
+STALL_MS = 300.0  # an iteration that is this late means that the process was stalled
 
 
 class Timers:
--- a/tamarindfold/ingress/upstream.py
+++ b/tamarindfold/ingress/upstream.py
@@ -39,7 +39,7 @@
         """The request bytes of an attempt."""
 
     def outcome(self, reader: ResponseReader) -> Outcome:
-        """The outcome that a complete response stands for."""
+        """The outcome that a complete response means."""
 
     def units(self, reader: ResponseReader) -> float:
         """The units that the request actually used; 0 if the response does not say."""
@@ -54,12 +54,12 @@
     __slots__ = (
         "aborted_as",
         "backend",
-        "bytes_held",
         "connection",
         "deadline_ms",
         "entry",
         "exchange",
         "number",
+        "received_bytes",
         "received_ms",
         "sent",
     )
@@ -71,7 +71,7 @@
         self.deadline_ms = deadline_ms
         self.connection: Connection | None = None
         self.sent = False  # whether the request may have run
-        self.bytes_held = 0  # of the response
+        self.received_bytes = 0
         self.received_ms = 0.0  # when the last bytes of the response arrived
         self.aborted_as: Outcome | None = None  # TIMEOUT or CANCELLED once the gateway has ended the attempt
 
@@ -98,14 +98,14 @@
         timers: Timers,
         backends: BackendAdapter,
         clock: Callable[[], float],
-        reuse_after_ms: float = math.inf,
+        reuse_after_break_ms: float = math.inf,
         max_held_bytes: float = math.inf,
     ) -> None:
-        """reuse_after_ms: unsafe requests use kept connections if none was found broken for this long.
+        """reuse_after_break_ms: non-idempotent requests use idle connections if none broke for this long.
 
         max_held_bytes: bound on the total of all responses that are being read.
         """
-        self.reuse_after_ms, self.max_held_bytes = reuse_after_ms, max_held_bytes
+        self.reuse_after_break_ms, self.max_held_bytes = reuse_after_break_ms, max_held_bytes
         self.held_bytes = self.peak_held_bytes = 0  # of all responses that are being read
         self.core, self.pool, self.timers, self.backends, self.clock = core, pool, timers, backends, clock
         self.running: dict[tuple[int, int], Attempt] = {}
@@ -135,13 +135,13 @@
         exchange = attempt.exchange
         timer = self.timers.schedule(attempt.deadline_ms, attempt.on_timeout)
         try:
-            outcome = self._outcome(attempt)
+            outcome = self._execute(attempt)
         except (OSError, BadResponse):
             outcome = Outcome.RESET if attempt.sent else Outcome.CONNECT_FAILED
         finally:
             self.timers.cancel(timer)
             del self.running[exchange.number, attempt.number]
-            self.held_bytes -= attempt.bytes_held
+            self.held_bytes -= attempt.received_bytes
         served, units = None, 0.0
         report: tuple[float, ...] = ()
         connection = attempt.connection
@@ -183,7 +183,8 @@
             return attempt.aborted_as
         return Outcome.MOOT if attempt.aborted_as is Outcome.CANCELLED else outcome
 
-    def _outcome(self, attempt: Attempt) -> Outcome:
+    def _execute(self, attempt: Attempt) -> Outcome:
+        """Connect, write the request and read the response; raises OSError or BadResponse if that fails."""
         exchange, reason_not_to_send = attempt.exchange, self.core.reason_not_to_send
         if attempt.aborted_as is not None or reason_not_to_send(exchange, attempt.entry):
             return Outcome.MOOT
@@ -213,12 +214,12 @@
 
     def _account(self, attempt: Attempt, size: int) -> None:
         """Count received bytes; BadResponse if one response or the sum of all exceeds its memory bound."""
-        attempt.bytes_held += size
+        attempt.received_bytes += size
         self.held_bytes += size
         self.peak_held_bytes = max(self.peak_held_bytes, self.held_bytes)
         if (
             self.held_bytes > self.max_held_bytes
-            or attempt.bytes_held > self.pool.answer_bytes + MAX_HEAD_BYTES
+            or attempt.received_bytes > self.pool.answer_bytes + MAX_HEAD_BYTES
         ):
             self.counts["no_room"] += 1
             raise BadResponse("responses exceed the memory bound")
@@ -226,13 +227,13 @@
     def _connection(self, attempt: Attempt) -> Connection:
         """A connection to the attempt's server: an idle one if possible, else a new one.
 
-        Unsafe requests use idle connections only after `reuse_after_ms` without a broken one. A server may
+        Non-idempotent requests use idle ones only if none broke for `reuse_after_break_ms`. A server may
         close an idle connection just as it is used again, and then nobody can tell whether it had read the
         request. New connections do not have this race, but cost both sides work.
         """
         backend = attempt.backend
-        unsafe = self.core.gateway.settings.classes[attempt.exchange.cls].effect is Effect.UNSAFE
-        if not unsafe or self.clock() - self.pool.last_broken_ms >= self.reuse_after_ms:
+        non_idempotent = self.core.gateway.settings.classes[attempt.exchange.cls].effect is Effect.UNSAFE
+        if not non_idempotent or self.clock() - self.pool.last_broken_ms >= self.reuse_after_break_ms:
             idle = self.pool.acquire_idle(backend)
             if idle is not None:
                 return idle
--- a/tamarindfold/limits/open_requests.py
+++ b/tamarindfold/limits/open_requests.py
@@ -43,8 +43,8 @@
     def local_limit(self, limit: int, customer: int, width: int) -> int:
         """This gateway's part of a customer's limit, which is divided among `width` gateways."""
         width = max(1, min(width, self.gateways))
-        place = (self.index - customer % self.gateways) % self.gateways
-        return max(1, limit // width + (place < limit % width))
+        position = (self.index - customer % self.gateways) % self.gateways
+        return max(1, limit // width + (position < limit % width))
 
     def acquire(
         self, request: int, customer: int, limit: int, width: int, now: float, until_ms: float
--- a/tamarindfold/links/link.py
+++ b/tamarindfold/links/link.py
@@ -18,9 +18,9 @@
     """
 
     def __init__(
-        self, address: tuple[str, int], connect_s: float, backoff: Backoff, source_address: str = ""
+        self, address: tuple[str, int], connect_timeout_s: float, backoff: Backoff, source_address: str = ""
     ) -> None:
-        self.address, self.connect_s, self.backoff = address, connect_s, backoff
+        self.address, self.connect_timeout_s, self.backoff = address, connect_timeout_s, backoff
         self.source = (source_address, 0) if source_address else None
         self.sock: socket.socket | None = None
         self._address_changed = Event()
@@ -58,7 +58,7 @@
 
     def _read_once(self, read: Callable[[socket.socket], None]) -> None:
         address = self.address
-        with socket.create_connection(address, self.connect_s, self.source) as sock:
+        with socket.create_connection(address, self.connect_timeout_s, self.source) as sock:
             if address != self.address:  # the address changed while connecting
                 return
             self.sock = sock
--- a/tamarindfold/membership/driver.py
+++ b/tamarindfold/membership/driver.py
@@ -25,13 +25,13 @@
         self,
         address: tuple[str, int],
         reconnect_ms: float,
-        saved_at: Path | None,
+        list_file: Path | None,
         notify: Callable[[FleetUpdate], None],
         log: Callable[..., None],
         source_address: str = "",
     ) -> None:
-        """saved_at: the file that keeps the last list for a restart; None: nothing is saved."""
-        self.saved_at, self.notify, self.log = saved_at, notify, log
+        """list_file: where the latest list is saved for a restart; None: nothing is saved."""
+        self.list_file, self.notify, self.log = list_file, notify, log
         self.servers = ServerList()
         pause_s = reconnect_ms / 1000
         self.subscription = Subscription(
@@ -42,11 +42,11 @@
 
     def start(self) -> None:
         """Publish the saved list, if there is one, then subscribe to the feed."""
-        if self.saved_at is not None and self.saved_at.exists():
+        if self.list_file is not None and self.list_file.exists():
             try:
-                self.notify(self.servers.restore(self.saved_at.read_bytes()))
+                self.notify(self.servers.restore(self.list_file.read_bytes()))
             except (OSError, ValueError) as error:
-                self.log("fleet.saved_list_unusable", path=str(self.saved_at), reason=str(error))
+                self.log("fleet.saved_list_unusable", path=str(self.list_file), reason=str(error))
         self.subscription.start()
 
     def stop(self) -> None:
@@ -73,9 +73,9 @@
 
     def _save(self) -> None:
         """Save the list; the file is replaced atomically, so a crash leaves the old list or the new one."""
-        if self.saved_at is None:
+        if self.list_file is None:
             return
         try:
-            replace_file(self.saved_at, [self.servers.encode()])
+            replace_file(self.list_file, [self.servers.encode()])
         except OSError as error:
-            self.log("fleet.list_not_saved", path=str(self.saved_at), reason=str(error))
+            self.log("fleet.list_not_saved", path=str(self.list_file), reason=str(error))
--- a/tamarindfold/node/__main__.py
+++ b/tamarindfold/node/__main__.py
@@ -26,8 +26,8 @@
 def _reload(path: Path, nodes: list[Node]) -> None:
     """Apply the addresses in the changed configuration file; an invalid file changes nothing.
 
-    While there is no node nothing is to be done: either the file has yet to be read for the first time, or
-    the node is created from it without a yield in between.
+    If there is no node yet, nothing needs to be done: it will be created from the current file, as nothing
+    yields between reading the file and creating the node.
     """
     if not nodes:
         return
--- a/tamarindfold/node/adapters.py
+++ b/tamarindfold/node/adapters.py
@@ -36,18 +36,18 @@
 
 
 class PlatformBackends:
-    """Encodes attempts and interprets answers; an attempt may have run once its last byte was written."""
+    """Encodes attempts and interprets responses; an attempt may have run once its last byte was written."""
 
     needs_complete_request = True
 
     def __init__(
         self,
         address: Callable[[int], tuple[str, int] | None],
-        place: Callable[[int], object],
+        process_identity: Callable[[int], object],
         fields: tuple[str, ...],
     ) -> None:
         """fields: the names of the load report's values in the order of the settings."""
-        self.address, self.process_identity, self.fields = address, place, fields
+        self.address, self.process_identity, self.fields = address, process_identity, fields
 
     def request(self, exchange: Exchange, attempt: int, backend: int, left_ms: float) -> bytes:
         return backends.attempt(exchange.method, exchange.target, exchange.name, exchange.body, left_ms)
--- a/tamarindfold/node/discovery.py
+++ b/tamarindfold/node/discovery.py
@@ -15,16 +15,17 @@
 
 CONNECT_TIMEOUT_S = 1.0
 FIRST_DATA_TIMEOUT_S = 1.5  # the agent answers at once, unless it is down
-# heartbeats come every 2 s, and every ingress is taken to know a change 6 s after it (4 s after SIGHUP)
+# Heartbeats come every 2 s, and the platform assumes that every ingress knows a change 6 s after it (4 s
+# after SIGHUP).
 SILENCE_TIMEOUT_S = 2.8
 MIN_PAUSE_S = 0.05  # between two watches
 MAX_PAUSE_S = 0.5
-MAX_PAUSE_GRACE_SHARE = 0.5  # of the drain grace
+MAX_PAUSE_GRACE_SHARE = 0.5  # longest pause, as a share of the drain grace
 MIN_READ_TIMEOUT_S = 0.001  # data that has already arrived is read even after the deadline
 
 
 class DiscoveryWatch:
-    """Passes each line of the registry to `apply`; after a ValueError from it the full list is requested.
+    """Passes each line of the registry to `apply`; if that raises ValueError, it requests the full list.
 
     After an outage of discovery a change counts as published as soon as the agent has it, whether or not this
     ingress watches by then. The pause between two watches is therefore at most a share of the drain grace,
--- a/tamarindfold/node/front.py
+++ b/tamarindfold/node/front.py
@@ -69,8 +69,8 @@
     def _make_room(self) -> bool:
         """Evict the oldest unproven connection or, if there is none, the one that has been idle the longest.
 
-        A connection with a request on its socket or in progress is never evicted. The evicted connection's
-        own greenlet closes it in this iteration of the event loop; until then it counts towards
+        A connection with a request in its socket buffer or in progress is never evicted. The evicted
+        connection's own greenlet closes it in this iteration of the event loop; until then it counts towards
         `eviction_headroom`.
         """
         now = self.clock()
@@ -110,10 +110,10 @@
 
     @property
     def keep_alive(self) -> bool:
-        """Whether the connection stays open after this answer.
+        """Whether the connection stays open after this response.
 
-        It is closed if the client sent the next request before the answer, which violates the protocol, and
-        if many connections are idle: they would leave no room for other clients.
+        It is closed if the client sent the next request before the response, which violates the protocol, or
+        if many connections are idle, as they would leave no room for other clients.
         """
         return (
             super().keep_alive
@@ -138,7 +138,7 @@
                 Refused(OVERLOAD_RETRY_AFTER_MS, Why.PRESSURE), call.call_id, self.keep_alive
             )
         front.core.last_request_number = number = front.core.last_request_number + 1
-        deadline = self.last_byte_ms + call.time_left_ms
+        deadline_ms = self.last_byte_ms + call.time_left_ms
         return Exchange(
             number,
             call.call_id,
@@ -148,13 +148,13 @@
             call.units,
             call.width,
             call.retry,
-            deadline,
-            deadline - limits.answer_margin_ms,
+            deadline_ms,
+            deadline_ms - limits.answer_margin_ms,
             request.method,
             request.target,
             [],
             request.body,
-            first_gateway=call.first,
+            first_gateway=call.first_gateway,
         )
 
     def _process(self, exchange: Exchange) -> bytes:
--- a/tamarindfold/node/limits.py
+++ b/tamarindfold/node/limits.py
@@ -17,20 +17,20 @@
     connections: int  # from clients
     backend_connections: int
     open_requests: int
-    total_answer_bytes: int  # of all answers being read
+    total_answer_bytes: int  # of all responses being read
     header_bytes: int = 16_384
     header_count: int = 64
     header_timeout_ms: float = 2_000
     body_bytes: int = 65_536
     body_timeout_ms: float = 2_000
-    ahead_bytes: int = 0  # a request sent before the previous answer closes the connection, so none is kept
+    ahead_bytes: int = 0  # a request sent before the previous response closes the connection, so none is kept
     idle_timeout_ms: float = 20_000
     evictable_idle_ms: float = 2_000  # connections idle for this long are closed when there is no room
     first_request_timeout_ms: float = 2_000  # from accept to the end of the connection's first request
     write_timeout_ms: float = 2_000
     answer_margin_ms: float = 20
-    answer_bytes: int = 1 << 20  # the protocol says 64 KiB, but answers of 320 KB occur
-    # kept connections carry non-idempotent requests only if none of them broke within this time
+    answer_bytes: int = 1 << 20  # the protocol says 64 KiB, but responses of 320 KB occur
+    # non-idempotent requests use idle connections only if none broke within this time
     reuse_after_break_ms: float = 2_000
     max_pending_counts: int = 512
     counter_reconnect_ms: float = 20
@@ -39,12 +39,13 @@
     stall_ms: float = 300  # a longer gap between iterations of the event loop counts as a stall
     timer_slot_ms: float = 10  # the timer wheel advances every 10 ms while a timer is set
     counts_interval_ms: float = 10_000
-    max_idle_connections: int = 64  # at this number of idle client connections, answers close their own
+    # with this many idle client connections, each response closes its own connection
+    max_idle_connections: int = 64
     first_list_timeout_ms: float = 1_500  # wait at start for the changes since the initial list
 
 
 def allocate_limits(sockets: int, memory_mb: float, open_cap: int) -> Limits:
-    """Divide the descriptors between clients and backends, and allot a share of the memory to answers."""
+    """Divide the descriptors between clients and backends, and allot a share of the memory to responses."""
     available = sockets - RESERVED_DESCRIPTORS
     clients = int(available * CLIENT_SHARE)
     return Limits(
--- a/tamarindfold/node/server.py
+++ b/tamarindfold/node/server.py
@@ -27,16 +27,16 @@
 from tamarindfold.platform.registry import BackendDirectory
 
 BACKLOG = 1024
-BEAT_INTERVAL_S = 0.05
-TIDY_BEATS = 20  # beats between two clean-ups of the connection pool
-SLEW_BEATS = 20  # beats between two clock corrections
+HEARTBEAT_INTERVAL_S = 0.05
+CLEANUP_HEARTBEATS = 20  # heartbeats between two clean-ups of the connection pool
+SLEW_HEARTBEATS = 20  # heartbeats between two clock corrections
 IDLE_CLOSE_DELAY_S = 0.45  # after SIGTERM: from then on idle connections are closed
 LISTEN_DELAY_S = 0.7  # after SIGTERM: until then new connections are accepted
 DRAIN_TIMEOUT_S = 30.0  # longest wait for open connections when the ingress stops
 
 
 class Node:
-    """One ingress: the front for clients, the policy, and links to backends, discovery and the counter."""
+    """One ingress: client front, decision module, and links to backends, discovery and the counter."""
 
     def __init__(self, config: Configuration, log: Callable[..., None]) -> None:
         self.config, self.log = config, log
@@ -118,7 +118,7 @@
         self.listener.init_socket()
         enable_arrival_timestamps(self.listener.socket)
         self.listener.start()
-        self.greenlets = [gevent.spawn(self._beat), gevent.spawn(self._log_counts)]
+        self.greenlets = [gevent.spawn(self._heartbeat), gevent.spawn(self._log_counts)]
         self.log("node.listening", clients=limits.connections, backends=limits.backend_connections)
 
     def change_addresses(self, discovery: Address, counter: Address | None) -> None:
@@ -132,7 +132,7 @@
     def stop(self) -> None:
         """Serve clients for a moment longer, answer all requests that were received, then close.
 
-        First, each answer closes its connection. Then idle connections that have had an answer are closed.
+        First, each response closes its connection. Then idle connections that had a response are closed.
         Then `BaseFront.stop` reads each remaining connection's socket once more and accepts what is in the
         accept queue. Finally the open requests are answered. Connections count from accept on, so the
         process waits for all of them.
@@ -158,16 +158,16 @@
             self.pool.drop_idle(number)
         self.core.update_fleet(update)
 
-    def _beat(self) -> None:
-        """Tell the core that the event loop runs, tidy the pool and correct the clock at intervals."""
-        beats = 0
+    def _heartbeat(self) -> None:
+        """Notify the core that the event loop runs; clean up the pool and correct the clock at intervals."""
+        heartbeats = 0
         while True:
-            gevent.sleep(BEAT_INTERVAL_S)
+            gevent.sleep(HEARTBEAT_INTERVAL_S)
             self.core.on_loop_turn()
-            beats += 1
-            if not beats % TIDY_BEATS:
+            heartbeats += 1
+            if not heartbeats % CLEANUP_HEARTBEATS:
                 self.pool.prune_idle(self.core.fleet.__contains__)
-            if not beats % SLEW_BEATS:
+            if not heartbeats % SLEW_HEARTBEATS:
                 self.steady.slew()
 
     def _log_counts(self) -> None:
--- a/tamarindfold/platform/backends.py
+++ b/tamarindfold/platform/backends.py
@@ -1,4 +1,4 @@
-"""The protocol between an ingress and the platform's backends: attempts, answers, load reports; no I/O."""
+"""The protocol between an ingress and the platform's backends: attempts, responses, load reports; no I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def attempt(method: str, target: bytes, call_id: bytes, body: bytes, left_ms: float) -> bytes:
-    """Encode an attempt; left_ms is the time for which its answer will be awaited."""
+    """Encode an attempt; left_ms is the time for which the gateway will wait for its response."""
     headers = ((wire_names.CALL_ID, call_id), (wire_names.BUDGET, b"%.3f" % (left_ms / 1000)))
     return write.request(method, target, wire_names.HOST, headers, body)
 
 
 def outcome(reader: ResponseReader) -> Outcome:
-    """The outcome that a complete answer stands for."""
+    """The outcome that a complete response means."""
     if reader.status == 200:
         return Outcome.OK
     rejected = reader.status in (503, 504) and reader.get(wire_names.REJECTED) == b"1"
--- a/tamarindfold/platform/registry.py
+++ b/tamarindfold/platform/registry.py
@@ -41,7 +41,7 @@
 
 
 def _position(names: tuple[str, ...], value: str | int) -> int:
-    """The index of a name in the settings; an unknown name gets the index behind the last one."""
+    """The index of a name in the settings; an unknown name gets the index after the last one."""
     if isinstance(value, int):
         return value
     return names.index(value) if value in names else len(names)
@@ -64,8 +64,8 @@
     def apply(self, line: bytes, kind: ListKind = ListKind.FULL) -> tuple[FleetUpdate, list[int]]:
         """Apply one line of the registry.
 
-        Returns the update and the numbers of backends whose old connections are of no use: they left, moved
-        or restarted. `kind` is the update's kind if the line holds the whole list. On a ValueError the
+        Returns the update and the numbers of backends that left, moved or restarted, whose connections are
+        to be closed. `kind` is the update's kind if the line holds the whole list. On a ValueError the
         directory is unchanged.
         """
         try:
--- a/tamarindfold/platform/requests.py
+++ b/tamarindfold/platform/requests.py
@@ -1,6 +1,6 @@
 """Parses and validates the requests of the platform's clients; no I/O.
 
-A request is validated as a whole before the gateway's policy sees it: an invalid request in a customer's name
+A request is validated as a whole before the decision module sees it: an invalid request in a customer's name
 must not change that customer's state. The syntax of numbers is checked first, because float() and int() also
 accept forms such as `1_0`, `1e3` and `nan`.
 """
@@ -21,7 +21,7 @@
 _INTEGER = re.compile(rb"[0-9]{1,5}")
 _TARGET = re.compile(rb"/[\x21\x22\x24-\x3e\x40-\x7e]*\?([\x21\x22\x24-\x7e]*)")
 METERING_CACHE_SIZE = 256  # distinct x-metering values kept in parsed form
-CUSTOMER_LIMIT = 1 << 33  # the policy's counter names have room for 33 bits of the customer
+CUSTOMER_LIMIT = 1 << 33  # the decision module's counter names have room for 33 bits of the customer
 
 _KEY_PREFIX = wire_names.KEY + b"="
 _FRAMING = (b"content-length", b"transfer-encoding")
@@ -48,7 +48,7 @@
     plan: int
     units: float
     width: int  # number of gateways that this customer is spread over
-    first: int  # index of the first of them
+    first_gateway: int  # index of the first of them
     time_left_ms: float
     retry: bool
 
--- a/tamarindfold/platform/responses.py
+++ b/tamarindfold/platform/responses.py
@@ -22,16 +22,16 @@
 
 
 def served(body: bytes, keep_alive: bool) -> bytes:
-    """A backend's answer."""
+    """A backend's response body."""
     return write.response(200, (), body, keep_alive)
 
 
 def refused(over_quota: bool, retry_after_ms: float | None, keep_alive: bool) -> bytes:
-    """A refusal; retry-after has decimals, since whole seconds would make spaced retries arrive together."""
+    """A refusal; retry-after has decimals, since whole seconds would make spaced-out retries coincide."""
     after = () if retry_after_ms is None else ((b"retry-after", b"%.3f" % (max(0.0, retry_after_ms) / 1000)),)
     return write.response(429 if over_quota else 503, after, b"", keep_alive)
 
 
 def failed(late: bool, keep_alive: bool) -> bytes:
-    """The request failed and may have run on a backend; late: its deadline passed."""
+    """The request failed and may have run on a backend; late: whether its deadline passed."""
     return write.response(504 if late else 502, (), b"", keep_alive)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,21 +18,21 @@
         return rigs[-1]
 
     yield make
-    for one in rigs:
-        one.stop()
+    for started in rigs:
+        started.stop()
 
 
 @pytest.fixture
 def start_testbed() -> Iterator[Any]:
-    """A factory of platform ingresses with their surroundings, which are stopped when the test ends."""
-    worlds: list[PlatformTestbed] = []
+    """A factory of platform testbeds, started unless start=False, which are stopped when the test ends."""
+    testbeds: list[PlatformTestbed] = []
 
     def make(*args: Any, start: bool = True, **options: Any) -> PlatformTestbed:
-        worlds.append(PlatformTestbed(*args, **options))
+        testbeds.append(PlatformTestbed(*args, **options))
         if start:
-            worlds[-1].run()
-        return worlds[-1]
+            testbeds[-1].run()
+        return testbeds[-1]
 
     yield make
-    for one in worlds:
-        one.stop()
+    for testbed in testbeds:
+        testbed.stop()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -98,9 +98,9 @@
         sock.sendall(request(path, method, token, body, **headers))
         return read_answer(sock, method == "HEAD")
 
-    def entries(self, what: str) -> list[dict[str, Any]]:
-        """The servers' ledger entries of one kind (received, ran), in order of time."""
-        return sorted((e for s in self.servers for e in s.ledger.entries_of_kind(what)), key=lambda e: e["t"])
+    def entries(self, kind: str) -> list[dict[str, Any]]:
+        """The servers' ledger entries of one kind (received, ran), ordered by time."""
+        return sorted((e for s in self.servers for e in s.ledger.entries_of_kind(kind)), key=lambda e: e["t"])
 
     def stop(self) -> None:
         for sock in self.opened:
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -108,9 +108,9 @@
         if action == "call":
             number += 1
             open_calls[number] = now
-            made = p.call(now, Count(number, 1, 1))
-            if isinstance(made, CountAnswered):
-                assert made.outcome.never_ran
+            result = p.call(now, Count(number, 1, 1))
+            if isinstance(result, CountAnswered):
+                assert result.outcome.never_ran
                 del open_calls[number]
             else:
                 wire += [(number, 1), (number, 2)]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,15 +19,15 @@
 from build import START, gateway
 from gevent import socket
 from rig import read_answer, wait_for
-from rig import request as tokened
-from test_node import start
+from rig import request as request_with_token
+from test_node import start_process
 from test_platform import CONFIG
 from testbed import PlatformTestbed, free_port
 
 from tamarindfold.counter.driver import Counter
 from tamarindfold.http1 import write
 from tamarindfold.ingress.core import Core
-from tamarindfold.ingress.exchange import Exchange, ClientLeft
+from tamarindfold.ingress.exchange import ClientLeft, Exchange
 from tamarindfold.interface import Count, CountAnswered, Outcome
 from tamarindfold.node import discovery as discovery_driver
 from tamarindfold.node.limits import allocate_limits
@@ -87,14 +87,14 @@
     request = testbed.request_bytes()
     front = testbed.node.front
     connection = connection_of(testbed, sock)
-    decided = connection._process
+    process = connection._process
 
     def disconnect_before_decision(exchange: Exchange) -> bytes:
         """The request has been read; more bytes and the client's end arrive before the decision."""
         sock.sendall(ahead)
         disconnect(how, sock)
         wait_for(lambda: connection.has_unread_bytes() or how == "reset" or not ahead)
-        return decided(exchange)
+        return process(exchange)
 
     connection._process = disconnect_before_decision
     sock.sendall(request)
@@ -166,14 +166,14 @@
     """Requests that the daemon reads while an answer is outstanding are not lost."""
     r = rig(server={"default_work_ms": 30.0})
     sock = r.connect()
-    sock.sendall(tokened())
+    sock.sendall(request_with_token())
     wait_for(lambda: r.entries("received"))
-    sock.sendall(tokened() + tokened("/switches", "POST", body=b"y" * 3000))
+    sock.sendall(request_with_token() + request_with_token("/switches", "POST", body=b"y" * 3000))
     assert [read_answer(sock).status for _ in range(3)] == [200] * 3
     assert r.ingress.front.counts["ahead"] >= 1
-    sock.sendall(tokened())
+    sock.sendall(request_with_token())
     wait_for(lambda: len(r.entries("received")) == 4)
-    sock.sendall(tokened())
+    sock.sendall(request_with_token())
     sock.close()
     wait_for(lambda: r.ingress.core.counts["left"] == 1)
 
@@ -181,11 +181,11 @@
 def test_pipelined_requests_beyond_the_buffer_limit_are_served(rig) -> None:
     r = rig(server={"default_work_ms": 30.0}, limits={"ahead_bytes": 1})
     sock = r.connect()
-    sock.sendall(tokened())
+    sock.sendall(request_with_token())
     wait_for(lambda: r.entries("received"))
-    sock.sendall(tokened())
+    sock.sendall(request_with_token())
     wait_for(lambda: r.ingress.front.counts["ahead"])
-    sock.sendall(tokened())
+    sock.sendall(request_with_token())
     assert [read_answer(sock).status for _ in range(3)] == [200] * 3
 
 
@@ -295,17 +295,17 @@
     r = rig()
     r.ingress.listener.stop_accepting()
     sock = r.connect()
-    sock.sendall(tokened())
+    sock.sendall(request_with_token())
     assert r.ingress.stop() and read_answer(sock).status == 200
 
 
 def test_idle_connections_make_room_for_queued_ones_at_stop(rig) -> None:
-    """The only place is taken by an idle connection; another one waits in the accept queue with its request."""
+    """At a limit of one connection, an idle one is open; another waits in the accept queue with its request."""
     r = rig(limits={"connections": 1, "idle_timeout_ms": 3_600_000.0})
     idle, waiting = r.connect(), r.connect()
     assert r.ask(sock=idle).status == 200
     wait_for(lambda: r.ingress.front.idle)
-    waiting.sendall(tokened())
+    waiting.sendall(request_with_token())
     with gevent.Timeout(20, AssertionError("stop() waits for the idle connection")):
         assert r.ingress.stop()
     assert read_answer(waiting).status == 200 and idle.recv(10) == b""
@@ -329,18 +329,18 @@
 def test_signal_during_the_wait_for_the_first_list_takes_effect(tmp_path, sent_signal) -> None:
     """Discovery accepts the watch but sends nothing; the signal comes while the process waits for the list."""
     silent, other = (socket.create_server(("127.0.0.1", 0)) for _ in range(2))
-    for one in (silent, other):
-        one.settimeout(20)
-    addresses = ["{}:{}".format(*one.getsockname()) for one in (silent, other)]
+    for listener in (silent, other):
+        listener.settimeout(20)
+    addresses = ["{}:{}".format(*listener.getsockname()) for listener in (silent, other)]
     config = CONFIG | {
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": addresses[0],
         "counter": f"127.0.0.1:{free_port()}",
     }
-    process = start(tmp_path, msgspec.json.encode(config))
+    process = start_process(tmp_path, msgspec.json.encode(config))
     try:
-        taken, _ = silent.accept()
-        assert taken.recv(100).startswith(b"GET ")
+        watch, _ = silent.accept()
+        assert watch.recv(100).startswith(b"GET ")
         (tmp_path / "config.json").write_bytes(msgspec.json.encode(config | {"discovery": addresses[1]}))
         process.send_signal(sent_signal)
         if sent_signal == signal.SIGHUP:
@@ -352,8 +352,8 @@
     finally:
         process.kill()
         process.wait()
-        for one in (silent, other):
-            one.close()
+        for listener in (silent, other):
+            listener.close()
 
 
 # ---- lists
@@ -505,34 +505,36 @@
     now = [START]
     core = Core(gateway(1, 2), lambda: now[0], lambda *a, **k: None)
     core.sender = sender = RecordingSender()
-    exchange = [
+    exchanges = [
         Exchange(n, b"%d" % n, 0, 9, 0, 1.0, 2, False, START + 4000, START + 3980, "GET", b"/", [], b"")
         for n in range(2)
     ]
-    core.submit(exchange[1])  # its attempt is outstanding, ends during the stall and may be retried
+    core.submit(exchanges[1])  # its attempt is outstanding, ends during the stall and may be retried
     (backend,) = [n for n, b in core.gateway.backends.items() if b.outstanding]
     core.resumed.clear()
     acts = {
-        "arrive": lambda: core.submit(exchange[0]),
+        "arrive": lambda: core.submit(exchanges[0]),
         "withdraw": lambda: [
-            core.withdraw(one, ClientLeft()) for one in exchange if one.number in core.open_exchanges
+            core.withdraw(exchange, ClientLeft())
+            for exchange in exchanges
+            if exchange.number in core.open_exchanges
         ],
-        "answer": lambda: core.attempt_ended(exchange[1], 0, backend, Outcome.RESET, 5.0),
+        "answer": lambda: core.attempt_ended(exchanges[1], 0, backend, Outcome.RESET, 5.0),
     }
     for act in order:
         acts[act]()
     core.resumed.set()
     core._process_events()
-    for one in exchange:
-        if one.number in core.open_exchanges:
-            core.withdraw(one, ClientLeft())
+    for exchange in exchanges:
+        if exchange.number in core.open_exchanges:
+            core.withdraw(exchange, ClientLeft())
     outstanding = sum(len(b.outstanding) for b in core.gateway.backends.values())
     started = sum(sender.started.count(n) for n in (0, 1)) - 1  # the end of the first attempt was reported
     assert outstanding == started and not core.withdrawn
     assert sum(b.load > 0 for b in core.gateway.backends.values()) == outstanding
 
 
-def test_request_withdrawn_before_the_policy_saw_it_uses_no_quota() -> None:
+def test_request_withdrawn_before_the_decision_module_saw_it_uses_no_quota() -> None:
     core = Core(gateway(1, 2), lambda: START, lambda *a, **k: None)
     core.sender = sender = RecordingSender()
     core.resumed.clear()
--- a/tests/test_forward_front.py
+++ b/tests/test_forward_front.py
@@ -55,7 +55,7 @@
     return outcomes
 
 
-def test_permit_names_a_server_and_is_settled_by_one_report(proxy) -> None:
+def test_permit_names_a_server_and_is_ended_by_one_report(proxy) -> None:
     r, ask, report = proxy()
     outcomes = record_outcomes(r)
     answer = ask(tamarind_request="p1", tamarind_units="2")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -78,10 +78,10 @@
 )
 def test_faulty_answer_is_not_served_and_non_idempotent_request_is_not_retried(start_testbed, kind) -> None:
     testbed = start_testbed(faults=fault(kind))
-    short = {"X_Budget": "0.900", "X_Metering": "units=1,spread=3,first=1"} if kind == "short" else {}
-    assert testbed.ask(cls="switch", body=b"x", **short).status in (502, 504)
+    changes = {"X_Budget": "0.900", "X_Metering": "units=1,spread=3,first=1"} if kind == "short" else {}
+    assert testbed.ask(cls="switch", body=b"x", **changes).status in (502, 504)
     assert len(testbed.received()) == 1
-    assert testbed.ask(**short).status == 503  # idempotent: retried as often as allowed, then refused
+    assert testbed.ask(**changes).status == 503  # idempotent: retried as often as allowed, then refused
     assert kind == "error" or not any(testbed.node.pool.idle.values())
     assert len(testbed.received()) <= 1 + 3
 
@@ -160,9 +160,9 @@
 
 def test_silent_backend_times_out_at_the_clients_deadline(start_testbed) -> None:
     testbed = start_testbed(faults=fault("silent"))
-    one = {"X_Budget": "0.900", "X_Metering": "units=1,spread=3,first=1"}
-    assert testbed.ask(cls="switch", body=b"x", **one).status == 504
-    assert testbed.ask(**one).status in (503, 504)
+    changes = {"X_Budget": "0.900", "X_Metering": "units=1,spread=3,first=1"}
+    assert testbed.ask(cls="switch", body=b"x", **changes).status == 504
+    assert testbed.ask(**changes).status in (503, 504)
 
 
 @pytest.mark.parametrize(
@@ -245,9 +245,9 @@
 
 
 def test_many_idle_connections_do_not_exclude_other_clients(start_testbed, monkeypatch) -> None:
-    """Guards against idle connections that take all places of clients.
+    """Guards against idle connections that use up the connection limit for clients.
 
-    With 126 idle connections, the whole allowance of clients, two requests in three never reached the ingress.
+    With 126 idle connections, the whole limit, two requests in three never reached the ingress.
     """
     monkeypatch.setattr(
         "tamarindfold.node.server.allocate_limits",
@@ -424,7 +424,7 @@
 # ---- the program
 
 
-def start(tmp_path: Path, text: bytes | None) -> subprocess.Popen[bytes]:
+def start_process(tmp_path: Path, text: bytes | None) -> subprocess.Popen[bytes]:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_bytes(text)
@@ -447,7 +447,7 @@
     ],
 )
 def test_failed_start_prints_one_line(tmp_path, text) -> None:
-    process = start(tmp_path, text)
+    process = start_process(tmp_path, text)
     _, output = process.communicate(timeout=60)
     assert (
         process.returncode == 2
@@ -462,7 +462,7 @@
         "discovery": f"127.0.0.1:{free_port()}",
         "counter": f"127.0.0.1:{free_port()}",
     }
-    process = start(tmp_path, msgspec.json.encode(config))
+    process = start_process(tmp_path, msgspec.json.encode(config))
     output: list[bytes] = [process.stderr.readline()]
     while b"node.listening" not in output[-1]:
         output.append(process.stderr.readline())
@@ -503,19 +503,21 @@
     try:
         while b"node.listening" not in process.stderr.readline():
             assert process.poll() is None
-        own = Path("/proc") / str(process.pid)
-        assert (own / "exe").resolve() == Path(sys.executable).resolve()
-        threads = list((own / "task").iterdir())
+        proc = Path("/proc") / str(process.pid)
+        assert (proc / "exe").resolve() == Path(sys.executable).resolve()
+        threads = list((proc / "task").iterdir())
         assert not any((thread / "children").read_text().split() for thread in threads)
         wait_for(lambda: all((t / "stat").read_text().rsplit(")", 1)[1].split()[0] == "S" for t in threads))
-        mapped = (own / "maps").read_text()
+        mapped = (proc / "maps").read_text()
         assert "libc.so" in mapped or "ld-musl" in mapped
         assert not any(
             name in mapped for name in ("_posixsubprocess", "_multiprocessing", "_sqlite3", "_ssl")
         )
-        held = {os.readlink(one) for one in (own / "fd").iterdir()}
-        unix = {f"socket:[{line.split()[6]}]" for line in (own / "net" / "unix").read_text().splitlines()[1:]}
-        assert not held & unix
+        descriptors = {os.readlink(link) for link in (proc / "fd").iterdir()}
+        unix = {
+            f"socket:[{line.split()[6]}]" for line in (proc / "net" / "unix").read_text().splitlines()[1:]
+        }
+        assert not descriptors & unix
     finally:
         process.terminate()
         process.communicate(timeout=60)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -129,7 +129,7 @@
 def test_valid_request_is_parsed() -> None:
     call = parse()
     assert (call.call_id, call.cls, call.customer, call.plan) == (b"9b1f03aa5c7e2d41", 0, 0xB4D65521, 0)
-    assert (call.units, call.width, call.first, call.time_left_ms, call.retry) == (
+    assert (call.units, call.width, call.first_gateway, call.time_left_ms, call.retry) == (
         2.0,
         3,
         1,
--- a/tests/testbed.py
+++ b/tests/testbed.py
@@ -8,7 +8,7 @@
 import msgspec
 from gevent import socket
 from rig import read_answer, wait_for
-from test_platform import CONFIG, VALID_HEADERS, SETTINGS
+from test_platform import CONFIG, SETTINGS, VALID_HEADERS
 
 from tamarindfold.node.server import Node
 from tamarindfold.platform import configuration
