--- a/tamarindfold/counter/pipeline.py
+++ b/tamarindfold/counter/pipeline.py
@@ -24,7 +24,7 @@
     name: int
     sent_ms: float
     answered: bool = False  # its answer was reported to the caller
-    replies: int = 0  # received so far
+    replies_received: int = 0
     keepalive: bool = False  # a ping, not a call
 
 
@@ -47,7 +47,7 @@
 class Dialect(Protocol):
     """The commands of one kind of counter; in every dialect the first reply to a call has the total."""
 
-    replies: int  # number of replies to each call
+    replies_per_call: int
 
     def call(self, count: Count) -> bytes:
         """Encode a call."""
@@ -59,7 +59,7 @@
 class IncrByFloat:
     """INCRBYFLOAT and PEXPIRE in one write; PEXPIRE has NX, so an expiry that is already set is kept."""
 
-    replies = 2
+    replies_per_call = 2
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix.encode() + b":"
@@ -99,7 +99,7 @@
 
     def ping(self, now: float) -> bytes:
         """The bytes of a ping that keeps an idle connection open; its reply is matched and dropped."""
-        self.calls.append(_Call(0, now, True, self.dialect.replies - 1, True))
+        self.calls.append(_Call(0, now, True, self.dialect.replies_per_call - 1, True))
         return command(b"PING")
 
     def replies(self, now: float, values: Iterable[object]) -> list[CountAnswered]:
@@ -109,13 +109,13 @@
             if not self.calls:
                 raise ValueError("counter: received a reply that matches no call")
             call = self.calls[0]
-            call.replies += 1
+            call.replies_received += 1
             if not call.answered:
                 call.answered = True
                 answers.append(self._answer(now, call, value))
-            elif call.replies == 1 and not call.keepalive:
+            elif call.replies_received == 1 and not call.keepalive:
                 self.late_replies += 1
-            if call.replies == self.dialect.replies:
+            if call.replies_received == self.dialect.replies_per_call:
                 self.calls.popleft()
         self._discard_answered()
         return answers
--- a/tamarindfold/http1/requests.py
+++ b/tamarindfold/http1/requests.py
@@ -54,6 +54,7 @@
         self.in_message = self.in_body = self.closing = False
         self.wants_continue = False  # the client waits for 100 (Continue) before it sends the body
         self._error: Rejected | None = None
+        # _size: parsed bytes of the current header or body; _fed: bytes received for the current header
         self._size = self._fed = 0
         self._current = Request()
         self._body: list[bytes] = []
--- a/tamarindfold/ingress/connection.py
+++ b/tamarindfold/ingress/connection.py
@@ -280,7 +280,7 @@
                 data, self.last_byte_ms = receive(self.sock, READ_BYTES, self.front.clock)
                 return data
             except TimeoutError:
-                pass  # raised by stop_waiting; no_wait is unset if bytes came in the same loop iteration
+                pass  # from stop_waiting; the wait goes on if no_wait was reset in the same loop iteration
         try:
             data, self.last_byte_ms = receive(self.sock._sock, READ_BYTES, self.front.clock)
         except BlockingIOError:
--- a/tamarindfold/ingress/forward_auth.py
+++ b/tamarindfold/ingress/forward_auth.py
@@ -85,7 +85,7 @@
         super().__init__(config, core, authenticator, timers, clock, log, number, section.connections)
         header_names = section.names
         self.section, self.trust = section, TrustedProxies(section.trusted)
-        self.names = OriginalRequestHeaders.from_config(
+        self.original_headers = OriginalRequestHeaders.from_config(
             header_names.method, header_names.uri, header_names.host, section.prefix, section.hosts
         )
         self.name_header = header_names.request.lower().encode()
@@ -178,7 +178,7 @@
                 raise Rejected(403, "this peer's word is not believed")
             if request.target == REPORT:
                 return self._handle_reports(request)
-            original_request = parse_original_request(request, front.names)
+            original_request = parse_original_request(request, front.original_headers)
             client = front.trust.client_address(self.peer, request.headers)
             name = request.get(front.name_header)
             if (wanted := request.get(names.REFUSALS)) is not None:
--- a/tamarindfold/ingress/server.py
+++ b/tamarindfold/ingress/server.py
@@ -93,7 +93,7 @@
             clock,
             log,
         )
-        self.identity = self._identity(config, clock) if config.identity is not None else None
+        self.identity = self._create_registry_client(config, clock) if config.identity is not None else None
         self.authenticator = authenticator = Authenticator(config, self.introspector, self.identity, log)
         self.front = Front(
             config,
@@ -119,9 +119,9 @@
         self.listener: StreamServer | None = None
         self.greenlets: list[gevent.Greenlet] = []
         self.background = Background(config.recovery.background_part, log)
-        self.recorder = self._recorder(config, clock) if config.instance.state_dir else None
+        self.recorder = self._create_recorder(config, clock) if config.instance.state_dir else None
 
-    def _identity(self, config: GatewayConfig, clock: Callable[[], float]) -> RegistryClient:
+    def _create_registry_client(self, config: GatewayConfig, clock: Callable[[], float]) -> RegistryClient:
         """The follower of the registry; raises ValueError or OSError if its files are unusable."""
         section = config.identity
         assert section is not None
@@ -141,7 +141,7 @@
         self.core.is_credential_valid = identity.is_still_valid
         return identity
 
-    def _recorder(self, config: GatewayConfig, clock: Callable[[], float]) -> Recorder:
+    def _create_recorder(self, config: GatewayConfig, clock: Callable[[], float]) -> Recorder:
         section = config.recovery
         return Recorder(
             Path(config.instance.state_dir),
--- a/tamarindfold/platform/counter.py
+++ b/tamarindfold/platform/counter.py
@@ -12,7 +12,7 @@
 class AddGet:
     """ADDGET NAME AMOUNT TTL: adds the amount and replies with the total; TTL is in milliseconds."""
 
-    replies = 1
+    replies_per_call = 1
 
     def call(self, count: Count) -> bytes:
         amount = max(-MAX_AMOUNT, min(MAX_AMOUNT, float(count.amount)))
