--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -68,9 +68,9 @@
         for rate in range(changes):
             changed = fleet.document | {"plans": [{"name": "corner", "rate": 5 + rate % 3, "burst": 20}]}
             base = fleet.keepers.read_state()
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             fleet.keepers.propose(changed, base.newest if base else 0)
-            durations_ms.append((time.perf_counter() - began) * 1000)
+            durations_ms.append((time.perf_counter() - started_at) * 1000)
     return durations_ms
 
 
@@ -106,9 +106,9 @@
             leader = fleet.keepers.leader()
             base = fleet.keepers.read_state()
             fleet.keepers.kill(leader)
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             fleet.keepers.propose(fleet.document, base.newest if base else 0)
-            durations_ms.append((time.perf_counter() - began) * 1000)
+            durations_ms.append((time.perf_counter() - started_at) * 1000)
             fleet.keepers.restart([leader])
             fleet.keepers.wait_until(
                 lambda: len(fleet.keepers.voting_keepers()) == 3 and fleet.keepers.leader() >= 0
@@ -179,11 +179,11 @@
     sim.run(lambda: sim.leased_count == instances, 30_000)
     acting_ms, spreads, durations_ms = sim.now, [], []
     for version in range(2, changes + 2):
-        began = sim.now
+        started_at = sim.now
         sim.propose(version, document(6.0 + version % 3))
         sim.run(lambda v=version: len(sim.applied_at.get(v, ())) == instances, 20_000)  # type: ignore[misc]
         spreads.append(max(sim.applied_at[version]) - min(sim.applied_at[version]))
-        durations_ms.append(sim.now - began)
+        durations_ms.append(sim.now - started_at)
         sim.check_total_share()
     # a tenth of the instances loses the connection to all keepers before the next version
     sim.partitioned = set(range(0, instances, 10))
--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -26,10 +26,10 @@
 from tamarindfold.choice import Gateway
 from tamarindfold.client.blocking import Client
 from tamarindfold.client.budget import RetryBudget
-from tamarindfold.client.core import Answered, CallSpec, Call, Outcome, Result, Rules, Wait, Woke
+from tamarindfold.client.core import Answered, Call, CallSpec, Outcome, Result, Rules, Wait, Woke
 from tamarindfold.client.gateways import Gateways
-from tamarindfold.client.shared import Settings as ClientSettings
 from tamarindfold.client.jitter import ReconnectSchedule
+from tamarindfold.client.shared import Settings as ClientSettings
 from tamarindfold.interface import (
     AttemptEnded,
     BackendEntry,
@@ -123,7 +123,7 @@
         settings = Settings(1, 0, (cls,), (Plan(0, 0),), 3, 0.2, 10_000, 2, 1000, 250, marks_retry=True)
         self.gateway = Gateway(settings, seed)
         self.gateway.handle(0.0, FleetUpdate(ListKind.FULL, [BackendEntry(i + 1) for i in range(servers)]))
-        self.free_at = dict.fromkeys(range(1, servers + 1), 0.0)  # when a server has done its queue
+        self.free_at = dict.fromkeys(range(1, servers + 1), 0.0)  # when a server has finished its queue
         self.work_ms, self.random = work_ms, Random(seed)
         self.heap: list[tuple[float, int, Callable[[float], None]]] = []
         self.event_count = self.requests = 0
@@ -183,10 +183,12 @@
                     self._answer(now, request, Answered(504, {"tamarind-outcome": "failed"}))
 
     def _ended(
-        self, now: float, request: int, attempt: int, backend: int, outcome: AttemptOutcome, took: float
+        self, now: float, request: int, attempt: int, backend: int, outcome: AttemptOutcome, elapsed_ms: float
     ) -> None:
         answered = outcome is AttemptOutcome.OK
-        actions = self.gateway.handle(now, AttemptEnded(request, attempt, backend, outcome, took, answered))
+        actions = self.gateway.handle(
+            now, AttemptEnded(request, attempt, backend, outcome, elapsed_ms, answered)
+        )
         if answered:
             self._answer(now, request, Answered(200, {"tamarind-outcome": "served"}))
         self._act(now, actions, 1.0)
@@ -284,10 +286,10 @@
                     ),
                 ):
                     call()
-                    spent = time.process_time()
+                    cpu_before_s = time.process_time()
                     for _ in range(count):
                         call()
-                    rounds[name].append((time.process_time() - spent) / count * 1e6)
+                    rounds[name].append((time.process_time() - cpu_before_s) / count * 1e6)
         return {name: median(times) for name, times in rounds.items()}
     finally:
         child.terminate()
--- a/benchmarks/forward_auth.py
+++ b/benchmarks/forward_auth.py
@@ -140,21 +140,20 @@
         rounds: dict[str, list[dict[str, Any]]] = {name: [] for name, *_ in subjects}
         for _, address, _, role in subjects:
             load(address, 1.0, CONNECTIONS, 0, load_cores, __file__, role)  # warm-up: connections and caches
-        for _ in range(
-            ROUNDS
-        ):  # alternating, so that a change of the machine's speed affects all subjects alike
+        # alternating, so that a change of the machine's speed affects all subjects alike
+        for _ in range(ROUNDS):
             for name, address, child, role in subjects:
                 cpu_before = cpu_seconds(child.pid)
-                length = seconds / ROUNDS * 1.25
-                result = load(address, length, CONNECTIONS, 0, load_cores, __file__, role)
-                result["cpu_us"] = (cpu_seconds(child.pid) - cpu_before) / (result["rps"] * length) * 1e6
+                round_s = seconds / ROUNDS * 1.25
+                result = load(address, round_s, CONNECTIONS, 0, load_cores, __file__, role)
+                result["cpu_us"] = (cpu_seconds(child.pid) - cpu_before) / (result["rps"] * round_s) * 1e6
                 rounds[name].append(result)
         rate = median(run["rps"] for run in rounds["plain"]) / 2
         half_load: dict[str, list[dict[str, Any]]] = {name: [] for name, *_ in subjects[:2]}
         for _ in range(ROUNDS):
             for name, address, _, role in subjects[:2]:
-                length = seconds / ROUNDS * 1.25
-                half_load[name].append(load(address, length, CONNECTIONS, rate, load_cores, __file__, role))
+                round_s = seconds / ROUNDS * 1.25
+                half_load[name].append(load(address, round_s, CONNECTIONS, rate, load_cores, __file__, role))
     finally:
         processes.stop()
 
--- a/benchmarks/identity.py
+++ b/benchmarks/identity.py
@@ -81,10 +81,10 @@
     """Nanoseconds per lookup, the best of five rounds."""
     best = float("inf")
     for _ in range(5):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for key_hash in wanted:
             find(key_hash)
-        best = min(best, (time.perf_counter() - began) / len(wanted) * 1e9)
+        best = min(best, (time.perf_counter() - started_at) / len(wanted) * 1e9)
     return best
 
 
@@ -118,13 +118,13 @@
     key = Ed25519PrivateKey.generate()
     history = history_with_keys(count)
     envelope = encode_update(history.snapshot(), 0.0, key)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     body, _ = decode_update(envelope, key.public_key())
-    decode_ms = (time.perf_counter() - began) * 1000
+    decode_ms = (time.perf_counter() - started_at) * 1000
     assert isinstance(body, Snapshot)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     tables = Tables(body)
-    apply_ms = (time.perf_counter() - began) * 1000
+    apply_ms = (time.perf_counter() - started_at) * 1000
     table_bytes = sum(len(getattr(body.columns, c)) for c in body.columns.__slots__)
     dict_bytes, plain = allocated_bytes(lambda: credential_dict(count))
     wanted = Random(7).choices(key_hashes(count), k=LOOKUPS)
@@ -135,9 +135,9 @@
         encode_update(history.since(1, history.state.version - 1, history.chains[-2], False), 0.0, key),
         key.public_key(),
     )
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     tables.apply(delta)  # type: ignore[arg-type]
-    change_ms = (time.perf_counter() - began) * 1000
+    change_ms = (time.perf_counter() - started_at) * 1000
     return {
         "bytes_per_key": round(table_bytes / count, 1),
         "dict_bytes_per_key": round(dict_bytes / count, 1),
@@ -189,12 +189,12 @@
             gevent.sleep(0.005)
         for i in range(commits):
             gevent.sleep(0.03 + 0.03 * random.random())
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             version = store.commit([AddCustomer(f"c{i}", "small", 1)], float(i))
-            commit_us.record_value(int((time.perf_counter() - began) * 1e6))
+            commit_us.record_value(int((time.perf_counter() - started_at) * 1e6))
             while not all(f.version >= version for f in followers):
                 gevent.sleep(0.0005)
-            in_force_us.record_value(int((time.perf_counter() - began) * 1e6))
+            in_force_us.record_value(int((time.perf_counter() - started_at) * 1e6))
         for follower in followers:
             follower.stop()
         registry.stop()
--- a/benchmarks/ingress.py
+++ b/benchmarks/ingress.py
@@ -352,9 +352,8 @@
         rounds: dict[str, list[dict[str, Any]]] = {name: [] for name, _, _ in subjects}
         for _, _, address in subjects:
             load(address, 1.0, CONNECTIONS, 0, load_cores)  # warm-up: connections and caches
-        for _ in range(
-            ROUNDS
-        ):  # alternating, so that a change of the machine's speed affects all subjects alike
+        # alternating, so that a change of the machine's speed affects all subjects alike
+        for _ in range(ROUNDS):
             for name, child, address in subjects:
                 cpu_before = cpu_seconds(child.pid) if child else 0.0
                 result = load(address, seconds / ROUNDS * 1.25, CONNECTIONS, 0, load_cores)
--- a/benchmarks/prefixes.py
+++ b/benchmarks/prefixes.py
@@ -32,19 +32,18 @@
         (int(n.network_address) >> (32 - n.prefixlen), 32 - n.prefixlen, n.prefixlen) for n in networks
     ]
     wanted = [random.getrandbits(32) for _ in range(20_000)]
-    mapped = [
-        0xFFFF << 32 | address for address in wanted
-    ]  # IPv4-mapped IPv6 addresses, as the trie stores them
-    began = time.perf_counter()
+    # IPv4-mapped IPv6 addresses, as the trie stores them
+    mapped = [0xFFFF << 32 | address for address in wanted]
+    started_at = time.perf_counter()
     found = [trie.find(address) for address in mapped]
-    trie_us = (time.perf_counter() - began) / len(wanted) * 1e6
+    trie_us = (time.perf_counter() - started_at) / len(wanted) * 1e6
     scans = max(3, min(len(wanted), 2_000_000 // count))
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     scanned = [
         max((length for bits, shift, length in scan_list if address >> shift == bits), default=None)
         for address in wanted[:scans]
     ]
-    scan_us = (time.perf_counter() - began) / scans * 1e6
+    scan_us = (time.perf_counter() - started_at) / scans * 1e6
     assert scanned == found[:scans]
     return {"trie_us": round(trie_us, 2), "scan_us": round(scan_us, 2), "ratio": round(trie_us / scan_us, 5)}
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -97,16 +97,16 @@
     background = Background(1.0, lambda *_, **__: None)
     background.scheduler = Scheduler(0.5, max_saved_ms=5.0)
     job = background.scheduler.add(Job("snapshot", recorder.snapshot, 0.0, 0), precise_ms())
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     background.start()
     while not recorder.counts["snapshots"]:
         gevent.sleep(0.005)
-    write_s = time.perf_counter() - began
+    write_s = time.perf_counter() - started_at
     background.stop()
     delay_greenlet.kill()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     start_gateway(folder, lambda: START + 1)
-    load_s = time.perf_counter() - began
+    load_s = time.perf_counter() - started_at
     gc.unfreeze()
     return {
         "longest_pause_ms": round(max_delay_s[0] * 1000, 2),
--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -54,7 +54,7 @@
     """Microseconds to cancel and schedule one of this many pending timers; stored timers at the end."""
     random = Random(1)
     handles = [timers.schedule(75_000 + random.random() * 1000, None) for _ in range(pending)]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     now = 0.0
     for i in range(operations):
         slot = random.randrange(pending)
@@ -63,7 +63,7 @@
         now += 0.02
         if i % 200 == 0:
             timers.advance(now)
-    return (time.perf_counter() - began) / operations * 1e6, entry_count(timers)
+    return (time.perf_counter() - started_at) / operations * 1e6, entry_count(timers)
 
 
 def main() -> None:
--- a/fuzz/headers.py
+++ b/fuzz/headers.py
@@ -180,9 +180,9 @@
     peer = random.choice(["10.0.0.9", "203.0.113.9", "::ffff:10.1.1.1", "2001:db8::7"])
     try:
         client = TRUSTED_PROXIES.client_address(peer, chain)
-    except Rejected as fault:
-        if fault.status != 400:
-            raise OracleMismatch(f"chain {chain!r}: {fault.status}") from None
+    except Rejected as rejection:
+        if rejection.status != 400:
+            raise OracleMismatch(f"chain {chain!r}: {rejection.status}") from None
         return
     parsed = ip_address(client)
     parsed = getattr(parsed, "ipv4_mapped", None) or parsed
@@ -199,9 +199,9 @@
     for names in HEADER_CONFIGURATIONS:
         try:
             found = parse_original_request(request, names)
-        except Rejected as fault:
-            if not 400 <= fault.status < 500:
-                raise OracleMismatch(f"original {request!r}: {fault.status}") from None
+        except Rejected as rejection:
+            if not 400 <= rejection.status < 500:
+                raise OracleMismatch(f"original {request!r}: {rejection.status}") from None
             continue
         allowed = {v for _, v in request.headers} | {
             request.target.removeprefix(b"/auth"),
@@ -217,9 +217,9 @@
     body = b"".join(random.choices([*FRAGMENTS, b"\n", valid_line], k=random.randint(0, 6)))
     try:
         found = parse_reports(body)
-    except Rejected as fault:
-        if fault.status not in (400, 413):
-            raise OracleMismatch(f"reports {body!r}: {fault.status}") from None
+    except Rejected as rejection:
+        if rejection.status not in (400, 413):
+            raise OracleMismatch(f"reports {body!r}: {rejection.status}") from None
         return
     if not all(r.status in (0, *range(100, 600)) and r.elapsed_ms >= 0 and r.units >= 0 for r in found):
         raise OracleMismatch(f"reports {body!r}: {found}")
@@ -243,8 +243,8 @@
     try:
         for part in parts:
             reader.feed(part)
-    except Rejected as fault:
-        status = fault.status
+    except Rejected as rejection:
+        status = rejection.status
     return [(r.method, r.target, r.headers, r.body) for r in reader.ready], status
 
 
--- a/tamarindfold/cli/modelcheck.py
+++ b/tamarindfold/cli/modelcheck.py
@@ -10,7 +10,7 @@
 
 @click.group(name="modelcheck")
 def group() -> None:
-    """Check the production objects by exhaustive search within bounds, random walks and seeded faults."""
+    """Check the production objects by exhaustive search within bounds, random walks and planted faults."""
 
 
 @group.command()
@@ -32,7 +32,7 @@
 def agreement(as_json: bool, scale: float, seed: int, workers: int) -> None:
     """Check keepers, leases, shares and versions.
 
-    Exit code 0: no invariant was violated, and every seeded fault was detected; 1 otherwise.
+    Exit code 0: no invariant was violated, and every planted fault was detected; 1 otherwise.
     """
     import msgspec
 
@@ -48,7 +48,7 @@
             f"{', '.join(result['searched_whole']) or 'none'}"
         )
         click.echo(
-            f"seeded faults detected: {result['planted_found']} of {result['planted']}"
+            f"planted faults detected: {result['planted_found']} of {result['planted']}"
             + "".join(f"; missed: {name}" for name in result["missed"])
         )
         for name, violation in result["broken"].items():
--- a/tamarindfold/cli/rehearse.py
+++ b/tamarindfold/cli/rehearse.py
@@ -11,7 +11,7 @@
 
 from tamarindfold.config.load import ConfigError, load
 
-OVERHEAD_S = 12.0  # estimated time to start, stop and judge a scenario, beside its own duration
+OVERHEAD_S = 12.0  # estimated time to start, stop and judge a scenario, in addition to its own duration
 PATH = click.Path(path_type=Path)
 
 
@@ -88,8 +88,8 @@
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 def judge(file: Path, folder: Path) -> None:
     """Judge an earlier run again, from the ledgers in its folder. FILE is the scenario of that run."""
-    from tamarindfold.rehearsal.scenario import Scenario, check
     from tamarindfold.rehearsal.run import judge_run
+    from tamarindfold.rehearsal.scenario import Scenario, check
 
     try:
         result = judge_run(load(file, Scenario, check), folder)
--- a/tamarindfold/cli/settings.py
+++ b/tamarindfold/cli/settings.py
@@ -239,9 +239,9 @@
             f"  {member.index:3}  {member.name}  joined at entry {member.number}"
             f"{'' if member.active else ' (not active yet)'}: {reported}{obstacle}"
         )
-    for held in sorted(state.held.values(), key=lambda h: h.name):
+    for lost in sorted(state.held.values(), key=lambda held: held.name):
         click.echo(
-            f"    -  {held.name}  lost since entry {held.number}, may still use share {held.share:.4f}"
+            f"    -  {lost.name}  lost since entry {lost.number}, may still use share {lost.share:.4f}"
         )
     if status.waits_for:
         click.echo(f"  pending: version {state.queue[0].version}: {status.waits_for}")
--- a/tamarindfold/cli/shutdown.py
+++ b/tamarindfold/cli/shutdown.py
@@ -15,7 +15,7 @@
 
 
 def wait_until_stopped(*ready_lines: str) -> None:
-    """Print the lines, which tell that the service is ready; return on SIGTERM, SIGINT or supervisor exit."""
+    """Print the lines, which announce readiness; return on SIGTERM, SIGINT or the supervisor's exit."""
     stop = Event()
     stop_on_supervisor_exit(stop)
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/tamarindfold/client/aio.py
+++ b/tamarindfold/client/aio.py
@@ -105,20 +105,20 @@
     ) -> tuple[Event, Reply]:
         started = now_ms()
         token = await self._token(started + send.time_left_ms)
-        left = send.time_left_ms - (now_ms() - started)
-        if token is None or left <= 0:
+        left_ms = send.time_left_ms - (now_ms() - started)
+        if token is None or left_ms <= 0:
             return NoToken(), NO_ANSWER
         client = self.pooled if send.effect != "unsafe" else self.unpooled
         request_headers = extra | try_headers(send, name, units, key, token)
         try:
             async with (
-                asyncio.timeout(left / 1000),
+                asyncio.timeout(left_ms / 1000),
                 client.stream(
                     method,
                     send.gateway + path,
                     content=body or None,
                     headers=request_headers,
-                    timeout=self.state.timeout(left),
+                    timeout=self.state.timeout(left_ms),
                 ) as answer,
             ):
                 parts = [part async for part in answer.aiter_raw()]
@@ -148,8 +148,8 @@
                 case Fetch():
                     await self._fetch(until_ms)
                 case Hold(until):
-                    wait = TOKEN_POLL_S * 1000 if until is None else min(until, until_ms) - now_ms()
-                    await self._pause(max(1.0, wait))
+                    pause_ms = TOKEN_POLL_S * 1000 if until is None else min(until, until_ms) - now_ms()
+                    await self._pause(max(1.0, pause_ms))
         return None
 
     async def _fetch(self, until_ms: float) -> None:
--- a/tamarindfold/client/blocking.py
+++ b/tamarindfold/client/blocking.py
@@ -102,8 +102,8 @@
         """Send one try; returns its event and the answer."""
         started = now_ms()
         token = self._token(send, started + send.time_left_ms)
-        left = send.time_left_ms - (now_ms() - started)
-        if token is None or left <= 0:
+        left_ms = send.time_left_ms - (now_ms() - started)
+        if token is None or left_ms <= 0:
             return NoToken(), NO_ANSWER
         client = self.pooled if send.effect != "unsafe" else self.unpooled
         request_headers = extra | try_headers(send, name, units, key, token)
@@ -113,7 +113,7 @@
                 send.gateway + path,
                 content=body or None,
                 headers=request_headers,
-                timeout=self.state.timeout(left),
+                timeout=self.state.timeout(left_ms),
             ) as answer:
                 parts = []
                 for part in answer.iter_raw():  # without a chunk size, which would wait for a full chunk
@@ -148,8 +148,8 @@
                 case Fetch():
                     self._fetch(until_ms)
                 case Hold(until):
-                    pause = TOKEN_POLL_S if until is None else (min(until, until_ms) - now_ms()) / 1000
-                    self.closed.wait(max(0.001, pause))
+                    pause_s = TOKEN_POLL_S if until is None else (min(until, until_ms) - now_ms()) / 1000
+                    self.closed.wait(max(0.001, pause_s))
         return None
 
     def _fetch(self, until_ms: float) -> None:
--- a/tamarindfold/client/core.py
+++ b/tamarindfold/client/core.py
@@ -239,14 +239,14 @@
         return spec.deadline_ms
 
     def _try(self, now: float) -> Action:
-        left = self._send_deadline() - now
-        if left <= 0:
+        left_ms = self._send_deadline() - now
+        if left_ms <= 0:
             return self._end(Outcome.FAILED, "the deadline has passed")
         gateway = self.gateways.choose(now, self.tried)
         reconnect_at = self.reconnects.not_before(gateway)
         if reconnect_at > now and not self.waited_to_reconnect:  # other clients lost it too: take turns
             self.waited_to_reconnect = True
-            return Wait(min(reconnect_at, now + left * MAX_RECONNECT_SHARE))
+            return Wait(min(reconnect_at, now + left_ms * MAX_RECONNECT_SHARE))
         self.waited_to_reconnect = False
         if not self.tries:
             self.first_sent = now
--- a/tamarindfold/client/jitter.py
+++ b/tamarindfold/client/jitter.py
@@ -41,11 +41,11 @@
             return self.reconnect_at[gateway]
         if gateway not in self.pauses:
             self.pauses[gateway] = 0.0
-            pause = hash_position(self.identity, gateway) * self.spread_ms
+            pause_ms = hash_position(self.identity, gateway) * self.spread_ms
         else:
-            pause = next_pause(self.pauses[gateway], self.base_ms, self.max_ms, self.draw)
-            self.pauses[gateway] = pause
-        self.reconnect_at[gateway] = now + pause
+            pause_ms = next_pause(self.pauses[gateway], self.base_ms, self.max_ms, self.draw)
+            self.pauses[gateway] = pause_ms
+        self.reconnect_at[gateway] = now + pause_ms
         return self.reconnect_at[gateway]
 
     def connected(self, gateway: str) -> None:
--- a/tamarindfold/client/shared.py
+++ b/tamarindfold/client/shared.py
@@ -104,8 +104,8 @@
 
     def timeout(self, left_ms: float) -> httpx.Timeout:
         """The time-outs of one try."""
-        left = max(0.001, left_ms / 1000)
-        return httpx.Timeout(left, connect=left * CONNECT_SHARE, pool=left * CONNECT_SHARE)
+        left_s = max(0.001, left_ms / 1000)
+        return httpx.Timeout(left_s, connect=left_s * CONNECT_SHARE, pool=left_s * CONNECT_SHARE)
 
     def limits(self, reuse: bool) -> httpx.Limits:
         """The connection limits. reuse: connections may serve several requests.
--- a/tamarindfold/introspection/checker.py
+++ b/tamarindfold/introspection/checker.py
@@ -1,4 +1,4 @@
-"""The state machine of token checks: caching, coalescing of look-ups, and a circuit breaker.
+"""The state machine of token checks: caching, coalescing of lookups, and a circuit breaker.
 
 It does no I/O and reads no clock: the caller hands in each event with the current time and carries out the
 returned actions in order. Tokens are identified by their digest. Times are milliseconds since the epoch, like
@@ -14,8 +14,8 @@
 from tamarindfold.introspection.claims import Claims, validity_error
 
 REFRESH_AGE_RATIO = 0.8  # of an answer's lifetime, after which a token in use is looked up again
-REFRESH_SHARE = 0.5  # of the look-ups in flight: the limit for refreshes, so that new tokens have precedence
-RETRY_JITTER = 1.0  # of the retry delay: added at random, so that rejected clients do not return together
+REFRESH_SHARE = 0.5  # of the lookups in flight: the limit for refreshes, so that new tokens have precedence
+RETRY_JITTER = 1.0  # of the retry delay: the largest random addition, which spreads rejected clients out
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,14 +137,14 @@
 
 @dataclass(slots=True)
 class _PendingLookUp:
-    """A look-up in flight or queued. waiters: number to stale_ok."""
+    """A lookup in flight or queued. waiters: the stale_ok of each, by its number."""
 
     waiters: dict[int, bool] = field(default_factory=dict)
     in_flight: bool = False
 
 
 class TokenChecker:
-    """Coalesces look-ups, caches their answers, and stops asking a server that keeps failing."""
+    """Coalesces lookups, caches their answers, and stops asking a server that keeps failing."""
 
     def __init__(self, rules: Rules, seed: int) -> None:
         self.rules, self.random = rules, Random(seed)
@@ -208,8 +208,8 @@
         rules, active = self.rules, isinstance(self._status(now, claims), Active)
         self.active_cache.pop(key, None)
         self.negative_cache.pop(key, None)
-        lifetime = rules.max_age_ms if active else rules.negative_age_ms
-        expires_at = now + lifetime
+        lifetime_ms = rules.max_age_ms if active else rules.negative_age_ms
+        expires_at = now + lifetime_ms
         if claims is not None:
             expires_at = min(expires_at, claims.expires_ms) if active else expires_at
             if not active and now < claims.not_before_ms:
@@ -267,7 +267,7 @@
             self._start()
 
     def _max_in_flight(self) -> int:
-        """After repeated failures only one look-up at a time, as a trial whether the server has recovered."""
+        """The limit of concurrent lookups; after repeated failures it is 1, to probe for a recovery."""
         return 1 if self.failures >= self.rules.trip_after else self.rules.most_in_flight
 
     def _start(self) -> None:
@@ -287,9 +287,9 @@
                 self.actions.append(Notify(waiter, Active(status.claims, True)))
                 return
         self.counts["turned_away"] += 1
-        delay = max(self.open_until - now, self.rules.trip_ms)
+        delay_ms = max(self.open_until - now, self.rules.trip_ms)
         self.actions.append(
-            Notify(waiter, Unknown(reason, delay * (1 + RETRY_JITTER * self.random.random())))
+            Notify(waiter, Unknown(reason, delay_ms * (1 + RETRY_JITTER * self.random.random())))
         )
 
     def _waiter_timed_out(self, now: float, event: WaiterTimedOut) -> None:
@@ -298,14 +298,14 @@
             return  # already notified
         stale_ok = pending.waiters.pop(event.waiter)
         self.waiting -= 1
-        if not pending.waiters and not pending.in_flight:  # no one waits for the queued look-up any more
+        if not pending.waiters and not pending.in_flight:  # no one waits for the queued lookup any more
             del self.pending[event.key], self.queue[event.key]
         self._reject(now, event.key, event.waiter, stale_ok, "the token check took too long")
 
-    # ---- results of look-ups
+    # ---- results of lookups
 
     def _take_in_flight(self, key: bytes) -> _PendingLookUp | None:
-        """Remove and return the look-up in flight for this token; None if there is none."""
+        """Remove and return the lookup in flight for this token; None if there is none."""
         pending = self.pending.get(key)
         if pending is None or not pending.in_flight:
             return None
@@ -325,7 +325,7 @@
         self._start()
 
     def _look_up_failed(self, now: float, event: LookUpFailed) -> None:
-        """Reject the waiters of a failed look-up; repeated failures open the circuit breaker for a while."""
+        """Reject the waiters of a failed lookup; repeated failures open the circuit breaker for a while."""
         pending = self._take_in_flight(event.key)
         if pending is None:
             return
@@ -337,7 +337,7 @@
         for waiter, stale_ok in pending.waiters.items():
             self._reject(now, event.key, waiter, stale_ok, event.reason)
         if now < self.open_until:
-            for key in self.queue:  # no look-up starts while the breaker is open: reject the queue at once
+            for key in self.queue:  # no lookup starts while the breaker is open: reject the queue at once
                 queued = self.pending.pop(key)
                 self.waiting -= len(queued.waiters)
                 for waiter, stale_ok in queued.waiters.items():
--- a/tamarindfold/introspection/driver.py
+++ b/tamarindfold/introspection/driver.py
@@ -1,4 +1,4 @@
-"""Runs token look-ups over HTTP and lets request greenlets wait for the checker's result."""
+"""Runs token lookups over HTTP and lets request greenlets wait for the checker's result."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         self.clock, self.log = clock, log
         self.key = os.urandom(32)  # random, so that digests are useless outside this process
         self.max_idle, self.max_answer_bytes = connections, max_answer_bytes
-        self.tokens: dict[bytes, bytes] = {}  # plain tokens by digest, kept only while a look-up needs them
+        self.tokens: dict[bytes, bytes] = {}  # plain tokens by digest, kept only while a lookup needs them
         self.waiters: dict[int, AsyncResult] = {}
         self.idle: list[tuple[socket.socket, ResponseReader]] = []
         self.last_waiter = 0
--- a/tamarindfold/rehearsal/fleet.py
+++ b/tamarindfold/rehearsal/fleet.py
@@ -42,7 +42,7 @@
 
 
 class RunningFleet:
-    """Starts the processes of a scenario and applies its events, which are noted in the ledger."""
+    """Starts the processes of a scenario and applies its events, which are recorded in the ledger."""
 
     def __init__(self, scenario: Scenario, out: Path) -> None:
         self.scenario, self.out = scenario, out
@@ -258,10 +258,10 @@
     def _managed_config(self, i: int, config: dict[str, Any]) -> dict[str, Any]:
         """An instance's own configuration file, which leaves out the agreed settings."""
         assert self.keepers is not None
-        own = {name: section for name, section in config.items() if name not in (*SHARED_SECTIONS, "terms")}
-        own["upstream"] = {k: v for k, v in own["upstream"].items() if k != "max_attempts"}
-        own["instance"] = {k: v for k, v in own["instance"].items() if k not in ("index", "gateways")}
-        return own | {"agreement": self.keepers.agreement_section(i, f"gateway-{i}")}
+        local = {name: section for name, section in config.items() if name not in (*SHARED_SECTIONS, "terms")}
+        local["upstream"] = {k: v for k, v in local["upstream"].items() if k != "max_attempts"}
+        local["instance"] = {k: v for k, v in local["instance"].items() if k not in ("index", "gateways")}
+        return local | {"agreement": self.keepers.agreement_section(i, f"gateway-{i}")}
 
     # ---- configurations
 
@@ -378,7 +378,7 @@
                 assert self.registry is not None
                 self.registry.start()
             case "stall", "instance":
-                suspend(self.gateways[number])  # before the note, so that it is suspended at the noted time
+                suspend(self.gateways[number])  # first, so that it is already suspended at the recorded time
                 self.ledger.record(self.clock(), "instance_stalls", index=number, for_ms=event.for_ms)
                 self._schedule(event.for_ms, self._resume_gateway, number)
             case "stall", "server":
--- a/tamarindfold/rehearsal/html_report.py
+++ b/tamarindfold/rehearsal/html_report.py
@@ -1,4 +1,4 @@
-"""The report of a run as a self-contained HTML page: verdicts, figures and a timeline; and its comparison."""
+"""Renders the report of a run as a self-contained HTML page, and compares the numbers of two reports."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def rates_by_kind(
-    occurrences: Sequence[tuple[float, str]], began: float, until: float
+    occurrences: Sequence[tuple[float, str]], started_at: float, until: float
 ) -> dict[str, list[float]]:
     """Occurrences per second by kind, in bins of BIN_MS."""
-    bins = max(1, int((until - began) / BIN_MS) + 1)
+    bins = max(1, int((until - started_at) / BIN_MS) + 1)
     out: dict[str, list[float]] = {}
     for at, kind in occurrences:
-        if began <= at <= until:
-            out.setdefault(kind, [0.0] * bins)[int((at - began) / BIN_MS)] += 1000 / BIN_MS
+        if started_at <= at <= until:
+            out.setdefault(kind, [0.0] * bins)[int((at - started_at) / BIN_MS)] += 1000 / BIN_MS
     return dict(sorted(out.items()))
 
 
@@ -38,8 +38,8 @@
     from matplotlib import pyplot
 
     tries = observations.tries.values()
-    began = min((client_try.sent["t"] for client_try in tries), default=0.0)
-    until = max((client_try.sent["t"] for client_try in tries), default=began + 1)
+    started_at = min((client_try.sent["t"] for client_try in tries), default=0.0)
+    until = max((client_try.sent["t"] for client_try in tries), default=started_at + 1)
     served, not_served = [], []
     for client_try in tries:
         for answer in client_try.answers[:1]:
@@ -57,10 +57,10 @@
         ("requests per second, by server", attempts),
     )
     for axis, (title, occurrences) in zip(axes, charts, strict=True):
-        for kind, values in rates_by_kind(occurrences, began, until).items():
+        for kind, values in rates_by_kind(occurrences, started_at, until).items():
             axis.plot([i * BIN_MS / 1000 for i in range(len(values))], values, label=kind, linewidth=1)
         for event in (e for e in observations.run_events if e["what"] == "event"):
-            axis.axvline((event["t"] - began) / 1000, color="#999", linewidth=0.6, linestyle=":")
+            axis.axvline((event["t"] - started_at) / 1000, color="#999", linewidth=0.6, linestyle=":")
         axis.set_title(title, fontsize=10, loc="left")
         if axis.get_legend_handles_labels()[0]:
             axis.legend(fontsize=7, ncols=4, loc="upper right")
@@ -82,7 +82,7 @@
 
 def render(report: dict[str, Any], observations: Observations) -> str:
     """The page for a report."""
-    began = min((client_try.sent["t"] for client_try in observations.tries.values()), default=0.0)
+    started_at = min((client_try.sent["t"] for client_try in observations.tries.values()), default=0.0)
     rules = "".join(
         f"<tr><td class={'pass' if r['passed'] else 'FAIL'}>{'pass' if r['passed'] else 'FAIL'}</td>"
         f"<td>{escape(r['rule'])}</td><td>{r['breaches']}</td><td>{r['looked_at']}</td>"
@@ -90,7 +90,7 @@
         for r in report["rules"] + report["checks"]
     )
     events = [
-        (f"{(e['t'] - began) / 1000:.1f} s", e["do"], e["target"])
+        (f"{(e['t'] - started_at) / 1000:.1f} s", e["do"], e["target"])
         for e in observations.run_events
         if e["what"] == "event"
     ]
@@ -148,10 +148,10 @@
     left, right = flatten_numbers(a), flatten_numbers(b)
     out = []
     for name in sorted(left.keys() | right.keys()):
-        one, two = left.get(name), right.get(name)
-        if one == two:
+        left_value, right_value = left.get(name), right.get(name)
+        if left_value == right_value:
             continue
-        ratio = f"{two / one:.3f}" if one and two is not None else "-"
-        first, second = ("-" if value is None else f"{value:g}" for value in (one, two))
+        ratio = f"{right_value / left_value:.3f}" if left_value and right_value is not None else "-"
+        first, second = ("-" if value is None else f"{value:g}" for value in (left_value, right_value))
         out.append(f"{name:<44} {first:>12} {second:>12} {ratio:>8}")
     return out
--- a/tamarindfold/rehearsal/judge.py
+++ b/tamarindfold/rehearsal/judge.py
@@ -18,8 +18,9 @@
 from tamarindfold.rehearsal.scenario import Scenario
 from tamarindfold.rehearsal.version_probe import find_stale_versions
 
-# Least ratio of the work in an overload that must come from gateways that knew of the server's start.
-INFORMED = 2 / 3
+# An overload counts as a breach if at least this ratio of the work came from gateways that had been notified
+# of the server's start.
+MIN_INFORMED_RATIO = 2 / 3
 
 
 @dataclass(slots=True)
@@ -79,38 +80,39 @@
             since[index, "suspended"] = entry["t"]
         elif what in ("instance_up", "instance_resumes"):
             kind = "dead" if what == "instance_up" else "suspended"
-            if (began := since.pop((index, kind), None)) is not None:
-                out.setdefault(index, []).append((began, entry["t"], kind))
-    for (index, kind), began in since.items():
-        out.setdefault(index, []).append((began, float("inf"), kind))
+            if (started_at := since.pop((index, kind), None)) is not None:
+                out.setdefault(index, []).append((started_at, entry["t"], kind))
+    for (index, kind), started_at in since.items():
+        out.setdefault(index, []).append((started_at, float("inf"), kind))
     return out
 
 
 def check_one_answer(observations: Observations, grace_ms: float, slack_ms: float) -> Verdict:
     """Each try that a live instance accepted gets one final answer in time, and no attempt is sent after it.
 
-    A try that was open at an instance when the instance was killed is left to the client to retry. A try that
-    was open at a suspended instance (SIGSTOP) must be answered from the moment at which the instance resumes.
+    A try that was open at an instance when the instance was killed is left to the client to retry. For a try
+    that was open at a suspended instance (SIGSTOP), the grace period starts no earlier than its resumption.
     """
     verdict = Verdict("no request lost")
     outages = _outages(observations)
     for client_try in observations.tries.values():
         verdict.examined += 1
         sent, deadline = client_try.sent["t"], client_try.sent["deadline"]
-        gaps = outages.get(client_try.sent["gateway"], [])
+        instance_outages = outages.get(client_try.sent["gateway"], [])
         if len(client_try.answers) > 1 or client_try.extra_bytes:
             verdict.breach(sent, request=client_try.name, what="answered twice")
         if not client_try.answers:
             end = client_try.broken["t"] if client_try.broken else deadline
-            dead = any(
-                kind == "dead" and began <= end + slack_ms and sent <= until for began, until, kind in gaps
+            was_dead = any(
+                kind == "dead" and started_at <= end + slack_ms and sent <= until
+                for started_at, until, kind in instance_outages
             )
             # The client gave up while the instance was suspended past the deadline: no answer is possible.
-            left = client_try.broken is not None and any(
-                kind == "suspended" and began <= deadline and client_try.broken["t"] <= until
-                for began, until, kind in gaps
+            gave_up = client_try.broken is not None and any(
+                kind == "suspended" and started_at <= deadline and client_try.broken["t"] <= until
+                for started_at, until, kind in instance_outages
             )
-            if not dead and not left:
+            if not was_dead and not gave_up:
                 verdict.breach(
                     sent,
                     request=client_try.name,
@@ -123,8 +125,8 @@
             [deadline]
             + [
                 until
-                for began, until, kind in gaps
-                if kind == "suspended" and sent <= until and began <= deadline
+                for started_at, until, kind in instance_outages
+                if kind == "suspended" and sent <= until and started_at <= deadline
             ]
         )
         if answered > due + grace_ms:
@@ -282,8 +284,8 @@
                 window.append(attempt)
                 while window[0].received_at <= attempt.received_at - start["overload_ms"]:
                     window.popleft()
-                age = (attempt.received_at - start["t"]) / start["cold_ms"]
-                capacity = start["start_capacity"] + (1 - start["start_capacity"]) * age
+                warm_up_progress = (attempt.received_at - start["t"]) / start["cold_ms"]
+                capacity = start["start_capacity"] + (1 - start["start_capacity"]) * warm_up_progress
                 budget = (
                     start["fall_multiple"] * capacity * start["cores"] * start["overload_ms"] + start["slack"]
                 )
@@ -297,7 +299,7 @@
                     )
                 )
                 highest_load = max(highest_load, work / budget)
-                if work > budget and informed >= INFORMED * work:
+                if work > budget and informed >= MIN_INFORMED_RATIO * work:
                     verdict.breach(
                         attempt.received_at,
                         request=attempt.entry["try"],
@@ -323,8 +325,9 @@
         (
             (client_try.attempts[0].received_at, client_try)
             for client_try in observations.tries.values()
+            # where a proxy failed open, no gateway decided
             if client_try.attempts and not client_try.failed_open
-        ),  # where a proxy failed open, no gateway decided
+        ),
         key=lambda first: first[0],
     )
     lowest = 0.0
@@ -390,7 +393,7 @@
 
 
 def check_agreed_settings(scenario: Scenario, observations: Observations) -> Verdict:
-    """No instance acts on a version beside a newer, contradicting one for longer than the window."""
+    """No instance acts on an old version later than the window after a newer one was first used."""
     window_ms = scenario.judging.window_ms or scenario.gateway.get("terms", {}).get(
         "window_ms", Terms().window_ms
     )
--- a/tamarindfold/rehearsal/keepers.py
+++ b/tamarindfold/rehearsal/keepers.py
@@ -28,7 +28,7 @@
 from tamarindfold.standins.ledger import Ledger
 
 SUSPEND_POLL_S = 0.001
-FULL_DISK_FILE_BYTES = 64  # limit on file sizes on a full disk; every file of a keeper is already larger
+FULL_DISK_FILE_BYTES = 64  # limit on file sizes that simulates a full disk: every file of a keeper is larger
 
 
 def free_port() -> int:
@@ -82,9 +82,9 @@
         self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(keepers)]
         self.relays: dict[tuple[str, str], Relay] = {}
         for k, address in enumerate(self.addresses):
-            near = [f"keeper {other}" for other in range(keepers) if other != k]
-            near += [f"instance {i}" for i in range(instances)]
-            for process in near:
+            connecting = [f"keeper {other}" for other in range(keepers) if other != k]
+            connecting += [f"instance {i}" for i in range(instances)]
+            for process in connecting:
                 name = f"{process} > keeper {k}"
                 self.relays[process, f"keeper {k}"] = Relay(
                     name,
@@ -213,8 +213,8 @@
         proposal = wire.Proposal(
             marked, base, author, "a scenario's event", token or uuid.uuid4().hex, canaries
         )
-        began = self.clock()
-        self.ledger.record(began, "propose", base=base, token=proposal.token)
+        started_at = self.clock()
+        self.ledger.record(started_at, "propose", base=base, token=proposal.token)
         reply = self.send(proposal, timeout_s)
         self.ledger.record(
             self.clock(),
@@ -222,7 +222,7 @@
             version=reply.version,
             reason=reply.reason,
             token=proposal.token,
-            began=began,
+            began=started_at,
         )
         return reply
 
--- a/tamarindfold/rehearsal/load.py
+++ b/tamarindfold/rehearsal/load.py
@@ -14,8 +14,8 @@
 from tamarindfold.client.budget import RetryBudget
 from tamarindfold.client.core import (
     Answered,
-    CallSpec,
     Broken,
+    CallSpec,
     Result,
     Rules,
     Unreached,
@@ -114,8 +114,8 @@
             cls = random.choices(list(group.mix), list(group.mix.values()))[0]
             units = random.choices(list(group.units), list(group.units.values()))[0]
             cls_info = self.classes[cls]
-            least = self.scenario.clients.patience_least
-            time_left_ms = cls_info.deadline_ms * (least + (1 - least) * random.random())
+            min_ratio = self.scenario.clients.patience_least
+            time_left_ms = cls_info.deadline_ms * (min_ratio + (1 - min_ratio) * random.random())
             bad_token = random.random() < self.scenario.clients.bad_tokens
             gateway = random.choices(gateways, gateway_weights)[0]
             if group.through and random.random() < group.through:
@@ -164,9 +164,9 @@
                 Random(f"{self.scenario.seed}/{call.customer}").random,
             ),
         )
-        ask = CallSpec(cls_info.effect, call.deadline_ms, cls_info.window_ms)
+        spec = CallSpec(cls_info.effect, call.deadline_ms, cls_info.window_ms)
         rules = Rules(most_tries=self.scenario.clients.retries + 1)
-        core = ClientCore(rules, ask, gateways, budget, reconnects, random.random)
+        core = ClientCore(rules, spec, gateways, budget, reconnects, random.random)
         action = core.start(self.clock())
         while not isinstance(action, Result):
             if isinstance(action, Wait):
@@ -181,12 +181,14 @@
 
     def _gateways(self, customer: str, first: int) -> Gateways:
         """The gateways that a customer may use, beginning with `first`."""
-        gateways = Gateways([str(i) for i in self._same_kind(first)], customer, Random(customer).random)
+        gateways = Gateways(
+            [str(i) for i in self._entry_points_like(first)], customer, Random(customer).random
+        )
         gateways.order.sort(key=lambda name: name != str(first))
         return gateways
 
-    def _same_kind(self, entry_point: int) -> range:
-        """The entry points of the same kind: all instances, or all proxies."""
+    def _entry_points_like(self, entry_point: int) -> range:
+        """The entry points of the same kind as this one: all instances, or all proxies."""
         instances = self.scenario.instances
         if entry_point < instances:
             return range(instances)
@@ -200,7 +202,7 @@
             may_have_run = isinstance(event, Broken) or outcome == "failed"
             if outcome in ("served", "rejected") or (may_have_run and call.cls_info.effect != "safe"):
                 return
-            entry_points = self._same_kind(gateway)
+            entry_points = self._entry_points_like(gateway)
             gateway = entry_points[(entry_points.index(gateway) + 1) % len(entry_points)]
             gevent.sleep(0.005 * random.random())
 
--- a/tamarindfold/rehearsal/managed_fleet.py
+++ b/tamarindfold/rehearsal/managed_fleet.py
@@ -145,7 +145,7 @@
         return read_entries(self.path)
 
     def find_stale_versions(self, window_ms: float | None = None) -> StaleVersionReport:
-        """Which instances acted on a version for too long beside a newer one."""
+        """Which instances acted on an old version for too long after a newer one was first used."""
         return find_stale_versions(self.history(), self.window_ms if window_ms is None else window_ms)
 
     def probe_status(self, i: int, version: int) -> int:
--- a/tamarindfold/rehearsal/relay.py
+++ b/tamarindfold/rehearsal/relay.py
@@ -10,7 +10,7 @@
 - `half_open`: the far side of all current connections is reset, and the near side is not notified.
 - `refuse`: no new connections.
 
-Faults add up; each ends after its time or with `heal`.
+Several faults may be active at once; each ends after its time or with `heal`.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from tamarindfold.config.model import PositiveInt, NonNegativeMs, Section
+from tamarindfold.config.model import NonNegativeMs, PositiveInt, Section
 from tamarindfold.standins.base import reset
 
 KINDS = ("cut", "stall", "delay", "throttle", "reset", "half_open", "refuse")
@@ -52,7 +52,7 @@
 
 
 class Relay:
-    """One link. clock: in milliseconds. note: called with each fault, its time and its duration."""
+    """One link. clock: in milliseconds. record: called for each fault, as Ledger.record."""
 
     def __init__(
         self,
@@ -60,11 +60,11 @@
         target: tuple[str, int],
         clock: Callable[[], float],
         seed: int,
-        note: Callable[..., None],
+        record: Callable[..., None],
         host: str = "127.0.0.1",
         source_address: str = "",
     ) -> None:
-        self.name, self.target, self.clock, self.note = name, target, clock, note
+        self.name, self.target, self.clock, self.record = name, target, clock, record
         self.source = (source_address, 0) if source_address else None
         self.random = Random(seed)
         self.faults: list[tuple[LinkFault, float]] = []
@@ -91,7 +91,7 @@
         """Start a fault."""
         now = self.clock()
         until = now + fault.for_ms if fault.for_ms else math.inf
-        self.note(now, "link", link=self.name, kind=fault.kind, way=fault.way, for_ms=fault.for_ms)
+        self.record(now, "link", link=self.name, kind=fault.kind, way=fault.way, for_ms=fault.for_ms)
         if fault.kind == "reset":
             for connection in list(self.connections):
                 connection.end(True)
@@ -105,7 +105,7 @@
 
     def heal(self) -> None:
         """End all faults."""
-        self.note(self.clock(), "link", link=self.name, kind="heal", way="both", for_ms=0)
+        self.record(self.clock(), "link", link=self.name, kind="heal", way="both", for_ms=0)
         self.faults.clear()
         self._signal()
 
@@ -224,8 +224,8 @@
                 more.clear()
                 continue
             due, data = buffered[0]
-            if (wait := due - relay.clock()) > 0:
-                gevent.sleep(wait / 1000)
+            if (wait_ms := due - relay.clock()) > 0:
+                gevent.sleep(wait_ms / 1000)
             while relay.active("stall", way):
                 gevent.sleep(POLL_S)
             if relay.active("cut", way) or self.half_open:
--- a/tamarindfold/rehearsal/run.py
+++ b/tamarindfold/rehearsal/run.py
@@ -33,12 +33,12 @@
             f"running for {scenario.duration_ms / 1000:g} s"
         )
         load = LoadGenerator(scenario, fleet)
-        began = fleet.clock()
+        started_at = fleet.clock()
 
         def apply_event(event: ScenarioEvent) -> None:
             target = event.target or event.customers or "all"
             fault = event.fault.kind if event.fault else ""
-            print_line(f"{(fleet.clock() - began) / 1000:5.1f} s  {event.do} {target} {fault}".rstrip())
+            print_line(f"{(fleet.clock() - started_at) / 1000:5.1f} s  {event.do} {target} {fault}".rstrip())
             if event.do == "surge":
                 load.surge(event)
             else:
--- a/tamarindfold/rehearsal/scenario.py
+++ b/tamarindfold/rehearsal/scenario.py
@@ -7,12 +7,12 @@
 from msgspec import Meta, Struct, field
 
 from tamarindfold.config.model import (
-    PositiveInt,
+    Identifier,
+    NonNegativeFloat,
     NonNegativeMs,
     PositiveFloat,
-    NonNegativeFloat,
+    PositiveInt,
     Section,
-    Identifier,
 )
 from tamarindfold.modelcheck.planted import LEASE_FAULTS
 from tamarindfold.rehearsal.relay import LinkFault
@@ -127,9 +127,8 @@
     """Tolerances for clock differences and scheduling delays on a busy machine."""
 
     slack_ms: NonNegativeMs = 150
-    window_ms: NonNegativeMs = (
-        0  # maximum overlap of agreed versions; 0: the window of the settings themselves
-    )
+    # how long an old version may be used after a newer one; 0: the window of the settings themselves
+    window_ms: NonNegativeMs = 0
 
 
 class Scenario(Section, frozen=True):
--- a/tamarindfold/rehearsal/skewed.py
+++ b/tamarindfold/rehearsal/skewed.py
@@ -18,20 +18,20 @@
 def skew(offset_ms: float, drift: float) -> None:
     """Replace the clocks of this process."""
     monotonic, wall = time.monotonic, time.time
-    began, began_wall = monotonic(), wall()
-    ahead = [offset_ms / 1000]
+    started_at, started_wall = monotonic(), wall()
+    offset_s = [offset_ms / 1000]
 
     def elapsed() -> float:
-        return (monotonic() - began) * (1 + drift)
+        return (monotonic() - started_at) * (1 + drift)
 
     def skewed_time() -> float:
-        return began_wall + ahead[0] + elapsed()
+        return started_wall + offset_s[0] + elapsed()
 
     def skewed_monotonic() -> float:
-        return began + elapsed()
+        return started_at + elapsed()
 
     def step(_number: int, _frame: object) -> None:
-        ahead[0] += STEP_MS / 1000
+        offset_s[0] += STEP_MS / 1000
 
     time.time, time.monotonic = skewed_time, skewed_monotonic
     signal.signal(signal.SIGUSR2, step)
--- a/tamarindfold/rehearsal/version_probe.py
+++ b/tamarindfold/rehearsal/version_probe.py
@@ -2,7 +2,7 @@
 
 Each version has a marker route, which needs a lease. The prober requests the marker routes of the newest
 versions from each instance in turn, on a connection of its own and without a token: 401 shows that the
-instance has the route, 404 that it has not, and 503 that it has no lease.
+instance has the route, 404 that it does not, and 503 that it has no lease.
 """
 
 from __future__ import annotations
@@ -20,9 +20,8 @@
 from tamarindfold.standins.ledger import Entry, Ledger
 
 INTERVAL_S = 0.02  # between probes of an instance, for up to INTERVAL_INSTANCES instances
-INTERVAL_INSTANCES = (
-    8  # above this number the interval grows in proportion, so that the total cost stays constant
-)
+# above this number of instances the interval grows in proportion, so that the total cost stays constant
+INTERVAL_INSTANCES = 8
 ANSWER_TIMEOUT_S = 20.0  # long, as a suspended instance answers only after it resumed
 PROBED_VERSIONS = 3  # the newest ones
 
@@ -83,16 +82,15 @@
     """What a history of probes shows. Times in milliseconds."""
 
     examined: int = 0  # probes that showed a version
-    max_overlap_ms: float = 0.0  # longest time for which an instance acted on a version beside a newer one
+    max_overlap_ms: float = 0.0  # longest time for which an old version was used after a newer one first was
     breaches: list[dict[str, Any]] = field(default_factory=list)
-    rollout_ms: dict[int, float] = field(
-        default_factory=dict
-    )  # by version: from its first instance to its last
+    # by version: from the first instance that acts on it to the last
+    rollout_ms: dict[int, float] = field(default_factory=dict)
     probes_without_lease: int = 0
 
 
 def find_stale_versions(history: list[Entry], window_ms: float) -> StaleVersionReport:
-    """Find the instances that acted on a version for longer than the window beside a newer one.
+    """Find the instances that acted on an old version later than the window after a newer one was first used.
 
     A probe reflects some moment between its start and its end. So the newer version was in force no later
     than the end of the first probe that showed it, and the older one was acted on no earlier than the start
@@ -125,8 +123,8 @@
                 entry["start"],
                 *(
                     until
-                    for began, until in suspensions.get(entry["index"], ())
-                    if began <= entry["start"] < until <= entry["t"]
+                    for started_at, until in suspensions.get(entry["index"], ())
+                    if started_at <= entry["start"] < until <= entry["t"]
                 ),
             ]
         )
--- a/tamarindfold/standins/counter.py
+++ b/tamarindfold/standins/counter.py
@@ -57,8 +57,8 @@
             if (slow := self.active_fault("slow")) is not None:
                 gevent.sleep(slow.delay_ms / 1000)
             if self.active_fault("mute") is not None:  # the commands are executed, but the replies held back
-                while (left := self.fault_end("mute") - self.clock()) > 0:
-                    gevent.sleep(min(left, 3_600_000) / 1000)
+                while (left_ms := self.fault_end("mute") - self.clock()) > 0:
+                    gevent.sleep(min(left_ms, 3_600_000) / 1000)
             sock.sendall(b"".join(replies))
 
     def _answer(self, command: Any, peer: str) -> bytes:
--- a/tamarindfold/standins/fleet.py
+++ b/tamarindfold/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Publishes the server list; followers get changes after a delay. membership.feed has the format."""
+"""Publishes the server list; followers get changes after a delay. The format: membership.feed."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
         disconnect_watcher = gevent.spawn(self._wait_for_disconnect, sock, updates)
         try:
             while (message := updates.get()) is not None:
-                while (left := self.fault_end("silent") - self.clock()) > 0:
-                    gevent.sleep(min(left, 3_600_000) / 1000)
+                while (left_ms := self.fault_end("silent") - self.clock()) > 0:
+                    gevent.sleep(min(left_ms, 3_600_000) / 1000)
                 # recorded before it is written, so that no gateway can have it before the recorded time
                 servers = {line.address: [line.state, line.up_since_ms] for line in message.servers}
                 self.ledger.record(
--- a/tamarindfold/standins/proxy.py
+++ b/tamarindfold/standins/proxy.py
@@ -57,7 +57,8 @@
     """Configuration of one proxy.
 
     gateways: addresses for sub-requests. servers: addresses of the servers, for a proxy that chooses the
-    server itself. form: whether it reports the outcome of each request to the gateway.
+    server itself. form: `report` if it reports the outcome of each request to the gateway, `decide` if not.
+    default_time_ms: time limit of a request that it sends without a permit.
     """
 
     name: str = "proxy"
@@ -234,8 +235,8 @@
         if response is None:
             return Response(503, [], b"authorization service is unreachable")
         if 200 <= response.status < 300:
-            own = [pair for pair in response.headers if pair[0].startswith(names.OWN_PREFIX)]
-            permit = Permit(gateway, own, "")
+            permit_headers = [pair for pair in response.headers if pair[0].startswith(names.OWN_PREFIX)]
+            permit = Permit(gateway, permit_headers, "")
             permit.server = permit.get(names.SERVER).decode()
             self.ledger.record(
                 self.clock(),
@@ -256,9 +257,8 @@
             (int(value) for known, value in response.headers if known == names.STATUS), response.status
         )
         kept = [pair for pair in response.headers if pair[0] not in write.HOP_BY_HOP]
-        if (
-            not profile.refusal_body
-        ):  # only the headers that the configuration in docs/operate-proxies.md keeps
+        if not profile.refusal_body:
+            # only the headers that the configuration in docs/operate-proxies.md keeps
             kept = [
                 pair
                 for pair in kept
@@ -283,7 +283,7 @@
         time_left_ms = (
             float(permit.get(names.TIME_LEFT)) if permit is not None else self.config.default_time_ms
         )
-        own = permit.headers if permit is not None else [(names.REQUEST, name)]
+        permit_headers = permit.headers if permit is not None else [(names.REQUEST, name)]
         kept = [
             pair
             for pair in request.headers
@@ -291,7 +291,7 @@
             and not pair[0].startswith(names.OWN_PREFIX)
             and pair[0] not in (b"host", b"authorization")
         ]
-        kept += [pair for pair in own if pair[0] not in (names.OUTCOME, names.SERVER)]
+        kept += [pair for pair in permit_headers if pair[0] not in (names.OUTCOME, names.SERVER)]
         data = write.request(request.method, request.target, server.encode(), kept, request.body)
         started_at = self.clock()
         try:
@@ -369,7 +369,7 @@
         )
 
     def _exchange(self, address: str, data: bytes, timeout_ms: float) -> Response:
-        """Send a request on a pooled connection and return the response; OSError on a failure or timeout."""
+        """Send a request on a pooled connection and return the response; OSError on a failure or time-out."""
         return self._exchange_on(self._connection(address, True), data, timeout_ms, False)
 
     def _exchange_on(self, connection: Connection, data: bytes, timeout_ms: float, no_body: bool) -> Response:
--- a/tamarindfold/standins/tariff.py
+++ b/tamarindfold/standins/tariff.py
@@ -1,4 +1,4 @@
-"""A priced backend server, simulated: cores, a queue, random work and slow starts.
+"""A simulated backend server with cores, a queue, random work and slow starts.
 
 After a cold start its capacity rises slowly; if it gets too many requests in that time, it crashes.
 """
@@ -108,10 +108,10 @@
 
     def capacity(self, now: float) -> float:
         """The fraction of its full speed that the server has now."""
-        age = now - self.started_at
-        if age >= self.config.cold_ms:
+        age_ms = now - self.started_at
+        if age_ms >= self.config.cold_ms:
             return 1.0
-        return self.config.start_capacity + (1 - self.config.start_capacity) * age / self.config.cold_ms
+        return self.config.start_capacity + (1 - self.config.start_capacity) * age_ms / self.config.cold_ms
 
     def _is_overloaded(self, now: float, work: float) -> bool:
         """Count newly arrived work; true if a cold server has received more than it can bear and crashes."""
@@ -205,8 +205,8 @@
                     return 0
                 slow = self.active_fault("slow", cls)
                 gevent.sleep(work * (slow.factor if slow else 1.0) / self.capacity(now) / 1000)
-                while (left := self.fault_end("stall") - self.clock()) > 0:
-                    gevent.sleep(min(left, 60_000) / 1000)
+                while (left_ms := self.fault_end("stall") - self.clock()) > 0:
+                    gevent.sleep(min(left_ms, 60_000) / 1000)
                 failure = self.active_fault("fail", cls)
                 if key:
                     self.executed_keys[key] = now
--- a/tamarindfold/standins/tokens.py
+++ b/tamarindfold/standins/tokens.py
@@ -63,8 +63,8 @@
     def _handle(self, sock: socket.socket, request: Request, first_byte_at: float) -> None:
         status, answer = self._answer(request, first_byte_at)
         if self.active_fault("hang") is not None:
-            while (left := self.fault_end("hang") - self.clock()) > 0:
-                gevent.sleep(min(left, 3_600_000) / 1000)
+            while (left_ms := self.fault_end("hang") - self.clock()) > 0:
+                gevent.sleep(min(left_ms, 3_600_000) / 1000)
         if (slow := self.active_fault("slow")) is not None:
             gevent.sleep(slow.delay_ms / 1000)
         gevent.sleep(self.config.delay_ms / 1000)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -579,7 +579,7 @@
 def test_call_command(rig, tmp_path) -> None:
     r = rig()
 
-    def run(*words):
+    def run(*arguments):
         return in_thread(
             lambda: subprocess.run(
                 [
@@ -591,7 +591,7 @@
                     url(r.address),
                     "--token",
                     "good",
-                    *words,
+                    *arguments,
                 ],
                 capture_output=True,
                 text=True,
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -37,11 +37,8 @@
     ("peer", "headers", "client"),
     [
         ("10.0.0.1", xff(b"203.0.113.7"), "203.0.113.7"),
-        (
-            "10.0.0.1",
-            xff(b"1.2.3.4, 203.0.113.7, 10.9.9.9"),
-            "203.0.113.7",
-        ),  # entries left of the client are forged
+        # entries left of the client are forged
+        ("10.0.0.1", xff(b"1.2.3.4, 203.0.113.7, 10.9.9.9"), "203.0.113.7"),
         ("10.0.0.1", xff(b"1.2.3.4", b"203.0.113.7"), "203.0.113.7"),
         ("203.0.113.9", xff(b"10.0.0.5"), "203.0.113.9"),  # forged from outside
         ("10.0.0.1", [], "10.0.0.1"),
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Runs the fuzzers for a short time, and checks that they detect seeded faults."""
+"""Runs the fuzzers for a short time, and checks that they detect planted faults."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         ("chains", "TRUSTED_NETWORKS", []),
     ],
 )
-def test_a_seeded_fault_is_detected(monkeypatch, target, name, replacement) -> None:
+def test_planted_fault_is_detected(monkeypatch, target, name, replacement) -> None:
     monkeypatch.setattr(headers, name, replacement)
     _, failures = headers.run(7, 800, None)
     assert [line.partition(",")[0] for line in failures] == [target]
--- a/tests/test_introspection.py
+++ b/tests/test_introspection.py
@@ -195,7 +195,7 @@
     assert c.handle(900, CheckRequested(A, 3)) == [Notify(3, Active(Claims())), LookUp(A, 1_000)]
     assert c.handle(950, CheckRequested(A, 4)) == [Notify(4, Active(Claims()))]
     assert c.handle(960, LookUpFailed(A, "down")) == []
-    assert c.handle(970, LookUpFailed(A, "down")) == []  # a second result of the same look-up is ignored
+    assert c.handle(970, LookUpFailed(A, "down")) == []  # a second result of the same lookup is ignored
     assert c.in_flight == 0
 
 
@@ -223,7 +223,7 @@
 @given(events, st.integers(1, 3), st.integers(0, 500))
 def test_every_waiter_is_notified_once_within_the_limits(steps, max_in_flight, stale_ms) -> None:
     """In any order of events: each waiter is notified exactly once, no token is active past exp, the limits
-    hold, and no token has two look-ups in flight."""
+    hold, and no token has two lookups in flight."""
     c = checker(
         most_in_flight=max_in_flight,
         most_waiting=6,
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -42,7 +42,7 @@
             "clients": {"retries": 0},
         },
         Scenario,
-        "day",
+        "scenario",
     )
 
 
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -87,8 +87,8 @@
         return made[-1]
 
     yield make
-    for one in made:
-        one.proxy.stop()
+    for created in made:
+        created.proxy.stop()
 
 
 KINDS = ["nginx", "traefik", "caddy", "envoy"]
@@ -168,8 +168,8 @@
 
 def test_repeated_sub_request_during_the_decision_waits_for_the_first(proxied) -> None:
     p = proxied()
-    core, held = p.r.ingress.core, []
-    real, core.gateway.handle = core.gateway.handle, lambda now, event: held.append(event) or []
+    core, held_back = p.r.ingress.core, []
+    real, core.gateway.handle = core.gateway.handle, lambda now, event: held_back.append(event) or []
     data = p.proxy._sub_request(
         SimpleNamespace(
             headers=[(b"authorization", b"Bearer good"), (b"host", b"a")],
@@ -182,10 +182,10 @@
         "1.2.3.4",
     )
     jobs = [gevent.spawn(p.proxy._exchange, p.gateway, data, 20_000.0) for _ in range(2)]
-    wait_for(lambda: held and p.permits["joined"] == 1)
-    assert len(held) == 1
+    wait_for(lambda: held_back and p.permits["joined"] == 1)
+    assert len(held_back) == 1
     core.gateway.handle = real
-    core.post(held[0])
+    core.post(held_back[0])
     first, second = (job.get() for job in jobs)
     assert (first.status, first.headers) == (second.status, second.headers) and first.status == 200
 
@@ -204,14 +204,14 @@
 
 def test_report_during_the_decision_settles_with_it(proxied) -> None:
     p = proxied()
-    core, held = p.r.ingress.core, []
-    real, core.gateway.handle = core.gateway.handle, lambda now, event: held.append(event) or []
+    core, held_back = p.r.ingress.core, []
+    real, core.gateway.handle = core.gateway.handle, lambda now, event: held_back.append(event) or []
     job = gevent.spawn(p.ask, tamarind_request="n1")
-    wait_for(lambda: held)
+    wait_for(lambda: held_back)
     p.proxy._post(p.gateway, "n1", 200, 1.0, {})
     assert p.permits["noted"] == 1
     core.gateway.handle = real
-    core.post(held[0])
+    core.post(held_back[0])
     assert job.get().status == 200 and p.permits["settled"] == 1
     assert core.counts["served"] == 1 and not core.open_exchanges
 
@@ -229,12 +229,12 @@
 
 def test_sub_request_abandoned_by_the_proxy_is_not_counted(proxied) -> None:
     p = proxied("traefik", Fault(kind="auth_timeout", delay_ms=100))
-    core, held = p.r.ingress.core, []
-    real, core.gateway.handle = core.gateway.handle, lambda now, event: held.append(event) or []
+    core, held_back = p.r.ingress.core, []
+    real, core.gateway.handle = core.gateway.handle, lambda now, event: held_back.append(event) or []
     assert p.ask().status == 503
     wait_for(lambda: core.counts["left"] == 1)
     core.gateway.handle = real
-    for event in held:
+    for event in held_back:
         core.gateway.handle(core.clock(), event)
     assert p.r.ingress.forward_front.permits.active == 0 and not core.gateway.calls
     assert not p.r.entries("received")
@@ -250,9 +250,9 @@
     # The proxy fails open.
     assert p.ask(token="small", tamarind_units="2", tamarind_request="n1").status == 200
     wait_for(lambda: p.permits["charged"] == 1)
-    (passed,) = [e for e in posted if isinstance(e, ExternalUse)]
-    customer = core.gateway.customers[passed.customer]
-    assert passed.units == 2 and customer.tokens < customer.plan.burst - 1.9
+    (external_use,) = [e for e in posted if isinstance(e, ExternalUse)]
+    customer = core.gateway.customers[external_use.customer]
+    assert external_use.units == 2 and customer.tokens < customer.plan.burst - 1.9
 
 
 def test_report_of_use_without_a_known_customer_is_answered_so(proxied) -> None:
@@ -491,9 +491,9 @@
     const asked = await fetch(at + "/auth", {headers: {"x-forwarded-method": "GET", "x-forwarded-uri": "/quotes",
         "authorization": "Bearer good", "x-request-id": "n"}});
     out.push(asked.status, asked.headers.get("tamarind-outcome"));
-    const told = await fetch(at + "/report", {method: "POST", body: JSON.stringify(
+    const reported = await fetch(at + "/report", {method: "POST", body: JSON.stringify(
         {request: asked.headers.get("tamarind-request"), status: 200, elapsed_ms: 1})});
-    out.push(told.status, await told.json());
+    out.push(reported.status, await reported.json());
     console.log(JSON.stringify(out));
     """
     done = in_thread(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -117,14 +117,14 @@
     relay, _, _ = link
     relay.inject(fault(kind="delay", way="there", delay_ms=30, jitter_ms=30))
     sock = connect(relay)
-    began = relay.clock()
+    started_at = relay.clock()
     for part in (b"a", b"b", b"c"):
         sock.sendall(part)
         gevent.sleep(0.002)
     got = b""
     while len(got) < 3:
         got += sock.recv(10)
-    assert got == b"abc" and relay.clock() - began >= 30
+    assert got == b"abc" and relay.clock() - started_at >= 30
 
 
 def test_reset_half_open_and_refuse(link: Any) -> None:
