--- a/tamarindfold/rehearsal/keepers.py
+++ b/tamarindfold/rehearsal/keepers.py
@@ -55,7 +55,7 @@
 
 
 class KeeperGroup:
-    """The keepers of one run. All faults and proposals are noted in the ledger, with their times."""
+    """The keepers of one run. All faults and proposals are recorded in the ledger, with their times."""
 
     def __init__(
         self,
--- a/tamarindfold/rehearsal/version_probe.py
+++ b/tamarindfold/rehearsal/version_probe.py
@@ -27,7 +27,7 @@
 
 
 class VersionProber:
-    """Probes instances and notes the results in a ledger. An address is empty while its instance is down."""
+    """Probes instances and records the results. An address is empty while its instance is down."""
 
     def __init__(
         self,
