--- a/tamarindfold/agreement/__init__.py
+++ b/tamarindfold/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated settings: a Paxos log of versions and of the instances' roster, followed under leases."""
+"""Replicated settings: a Paxos log of versions and roster changes, which instances follow under leases."""
--- a/tamarindfold/agreement/consensus.py
+++ b/tamarindfold/agreement/consensus.py
@@ -1,4 +1,4 @@
-"""One keeper, a replica of the log: an entry counts once a majority has it on disk. No I/O, no clock.
+"""One keeper, a replica of the log: an entry is chosen once a majority has it on disk. No I/O, no clock.
 
 Single-decree Paxos for each entry, one entry at a time, with a leader that keeps its ballot from entry to
 entry (as in Multi-Paxos and Viewstamped Replication). Each keeper is proposer, acceptor and learner. Two
@@ -8,8 +8,8 @@
   promise and the newest vote that any of them has seen, and takes part in votes only then: a wiped or older
   disk thus cannot break promises that the keeper made in an earlier incarnation. Only an operator may skip
   this (`trust_disk`), when another keeper is gone for good.
-- An entry that may have been chosen counts as doubt: a keeper that accepted an entry whose outcome it does
-  not know does not confirm to any instance that the log ends where the keeper's log ends (`certain`).
+- A keeper that has accepted an entry, but does not know whether it was chosen, is not certain that its log is
+  complete, and does not confirm that to any instance (`certain`).
 
 A Save action precedes the Send actions that rely on it; the caller must carry out actions in order.
 
@@ -233,7 +233,7 @@
 
     @property
     def number(self) -> int:
-        """How many entries are known to be chosen."""
+        """The number of entries that are known to be chosen."""
         return self.state.number
 
     @property
@@ -309,7 +309,7 @@
                 self._query_states(now)
         elif self.leads:
             if not self._has_recent_majority(now):
-                self._step_down(now)  # a leader that hears no majority must not keep others from an election
+                self._step_down(now)  # without replies from a majority, it must not prevent an election
             elif now >= self.next_send_at:
                 self.next_send_at = now + HEARTBEAT_MS
                 for other in self.others:
@@ -395,7 +395,7 @@
         return self.vote if self.vote is not None and self.vote.entry.number == self.number + 1 else None
 
     def _handle_prepare(self, now: float, sender: int, ballot: Ballot) -> None:
-        # keeps a working leader in office when a keeper that is cut off from it asks for votes
+        # prevents a keeper that is cut off from a working leader from deposing it
         leader_alive = (
             self._has_recent_majority(now)
             if self.leads
--- a/tamarindfold/agreement/document.py
+++ b/tamarindfold/agreement/document.py
@@ -48,9 +48,8 @@
     """Parameters of the agreement itself."""
 
     window_ms: Annotated[float, Meta(ge=200)] = 2_000  # longest time for which instances may disagree
-    unled_ms: NonNegativeMs = (
-        60_000  # an instance without a lease keeps its share for so long, then drops to the least
-    )
+    # how long an instance without a lease keeps its share before it drops to the least share
+    unled_ms: NonNegativeMs = 60_000
     least_share: Fraction = 0.001  # of each summed limit, for an instance that was without a lease for longer
     most_instances: Annotated[int, Meta(ge=1, le=1000)] = 350  # members and lost instances together
 
@@ -82,12 +81,12 @@
 
     Raises ValueError if they contradict each other.
     """
-    own = {name: getattr(local, name) for name in OwnConfig.__struct_fields__}
-    own["instance"] = replace(local.instance, gateways=gateways, index=index)
-    own["upstream"] = replace(local.upstream, max_attempts=document.max_attempts)
-    made = GatewayConfig(**own, **{name: getattr(document, name) for name in SHARED_SECTIONS})
-    derive.check(made)
-    return made
+    fields = {name: getattr(local, name) for name in OwnConfig.__struct_fields__}
+    fields["instance"] = replace(local.instance, gateways=gateways, index=index)
+    fields["upstream"] = replace(local.upstream, max_attempts=document.max_attempts)
+    config = GatewayConfig(**fields, **{name: getattr(document, name) for name in SHARED_SECTIONS})
+    derive.check(config)
+    return config
 
 
 def check(document: Document) -> None:
@@ -153,46 +152,51 @@
     """The union of the drains: a server gets new requests only if both versions list it as ready."""
     return [
         replace(
-            one, state="ready" if other and (one.state, other.state) == ("ready", "ready") else "draining"
+            server,
+            state="ready"
+            if counterpart and (server.state, counterpart.state) == ("ready", "ready")
+            else "draining",
         )
-        for one, other in _pairs(a, b, "address")
+        for server, counterpart in _pairs(a, b, "address")
     ]
 
 
 def _restrict(a: Document, b: Document) -> Document:
     """Settings that violate neither version."""
-    safe_a, safe_b = a.safety, b.safety
+    safety_a, safety_b = a.safety, b.safety
     most_units = min(a.customers.most_units, b.customers.most_units)
     routes = [
         replace(
-            one,
-            scope=" ".join(sorted({*one.scope.split(), *other.scope.split()}))
-            if one.scope != other.scope
-            else one.scope,
-            led_only=one.led_only or other.led_only,
+            route,
+            scope=" ".join(sorted({*route.scope.split(), *counterpart.scope.split()}))
+            if route.scope != counterpart.scope
+            else route.scope,
+            led_only=route.led_only or counterpart.led_only,
         )
-        for one, other in _pairs(a.routes, b.routes, "method", "path", "cls")
-        if other is not None
+        for route, counterpart in _pairs(a.routes, b.routes, "method", "path", "cls")
+        if counterpart is not None
     ]
     return replace(
         a,
-        classes=[_restrict_class(one, other) for one, other in _pairs(a.classes, b.classes, "name")],
-        plans=[_restrict_plan(one, other) for one, other in _pairs(a.plans, b.plans, "name")],
+        classes=[
+            _restrict_class(cls, counterpart) for cls, counterpart in _pairs(a.classes, b.classes, "name")
+        ],
+        plans=[_restrict_plan(plan, counterpart) for plan, counterpart in _pairs(a.plans, b.plans, "name")],
         routes=routes,
         fleet=replace(a.fleet, static=_restrict_servers(a.fleet.static, b.fleet.static)),
         customers=replace(
             a.customers, most_units=most_units, default_units=min(a.customers.default_units, most_units)
         ),
         safety=replace(
-            safe_a,
-            start_capacity=min(safe_a.start_capacity, safe_b.start_capacity),
-            cold_ms=max(safe_a.cold_ms, safe_b.cold_ms),
-            overload_ms=min(safe_a.overload_ms, safe_b.overload_ms),
-            fall_multiple=min(safe_a.fall_multiple, safe_b.fall_multiple),
-            drain_grace_ms=min(safe_a.drain_grace_ms, safe_b.drain_grace_ms),
-            answer_grace_ms=min(safe_a.answer_grace_ms, safe_b.answer_grace_ms),
+            safety_a,
+            start_capacity=min(safety_a.start_capacity, safety_b.start_capacity),
+            cold_ms=max(safety_a.cold_ms, safety_b.cold_ms),
+            overload_ms=min(safety_a.overload_ms, safety_b.overload_ms),
+            fall_multiple=min(safety_a.fall_multiple, safety_b.fall_multiple),
+            drain_grace_ms=min(safety_a.drain_grace_ms, safety_b.drain_grace_ms),
+            answer_grace_ms=min(safety_a.answer_grace_ms, safety_b.answer_grace_ms),
         ),
-        # totals in two counters at once would let a quota pass twice, so none is used in the joint phase
+        # a quota counted in two counters at once could be used up in each, so the joint phase uses none
         counter=a.counter if a.counter == b.counter else None,
         max_attempts=min(a.max_attempts, b.max_attempts),
     )
@@ -224,9 +228,9 @@
 def lowest_ratio(old: Document, new: Document) -> float:
     """The lowest ratio of a new summed limit to the old one; 1 if none is lowered."""
     lowest = 1.0
-    for one, other in _pairs(old.plans, new.plans, "name"):
-        for name in SUMMED_LIMITS if other is not None else ():
-            before, after = getattr(one, name), getattr(other, name)
+    for old_plan, new_plan in _pairs(old.plans, new.plans, "name"):
+        for name in SUMMED_LIMITS if new_plan is not None else ():
+            before, after = getattr(old_plan, name), getattr(new_plan, name)
             if after and (not before or after < before):
                 lowest = min(lowest, after / before if before else 0.0)
     return lowest
@@ -237,7 +241,7 @@
 
 def flatten(document: Document) -> dict[str, Any]:
     """The document as a map from paths to values; list items are addressed by name, address or route."""
-    out: dict[str, Any] = {}
+    values: dict[str, Any] = {}
 
     def walk(value: Any, path: str) -> None:
         if isinstance(value, dict):
@@ -253,10 +257,10 @@
                 )
                 walk(part, f"{path}[{key}]")
         else:
-            out[path] = value
+            values[path] = value
 
     walk(msgspec.to_builtins(document), "")
-    return out
+    return values
 
 
 def differences(old: Document, new: Document) -> list[str]:
--- a/tamarindfold/agreement/driver.py
+++ b/tamarindfold/agreement/driver.py
@@ -40,7 +40,7 @@
 
 
 def now_ms() -> float:
-    """The lease's clock, which is monotonic."""
+    """The clock of the lease: monotonic, in milliseconds."""
     return time.monotonic() * 1000
 
 
@@ -121,7 +121,7 @@
             )
             for k, address in enumerate(keepers)
         ]
-        self.to_save = Event()
+        self.save_needed = Event()
         self.join_error = ""
         self.diverged: set[int] = set()  # keepers whose log is not the one that this instance follows
         self.counts = dict.fromkeys(
@@ -203,7 +203,8 @@
             self._handle_reply(keeper, body)
             follower.message_received()
             if request.number == self.lease.state.number and not self.lease.has_lease:
-                gevent.sleep(wait_ms / 4000)  # waits for a place; the keeper answers such requests at once
+                # The keeper answers at once while this instance waits for a place, so the pause is made here.
+                gevent.sleep(wait_ms / 4000)
 
     def _handle_reply(self, keeper: int, body: bytes) -> None:
         try:
@@ -228,7 +229,7 @@
                 self.log("agreement.no_place", reason=reply.join_error)
         if new:
             self.counts["changes"] += 1
-            self.to_save.set()
+            self.save_needed.set()
         if new or not self.lease.has_lease:
             self.changed()
 
@@ -243,8 +244,8 @@
 
     def _save_changes(self) -> None:
         while True:
-            self.to_save.wait()
-            self.to_save.clear()
+            self.save_needed.wait()
+            self.save_needed.clear()
             if self.folder is None:
                 continue
             state = self.lease.state
--- a/tamarindfold/agreement/lease.py
+++ b/tamarindfold/agreement/lease.py
@@ -1,4 +1,4 @@
-"""One instance's view of the replicated settings, and its lease on the claim that the view is complete.
+"""One instance's view of the replicated settings, and the lease under which it may assume the view complete.
 
 A lease counts from the moment at which a renewal request was sent, and needs replies from a majority of the
 keepers that no further entry is chosen or may be. Whatever is chosen later was accepted by one of these
@@ -50,7 +50,7 @@
 
 
 class EffectiveSettings(Struct, frozen=True):
-    """What the instance is to act on now. share 0: nothing yet."""
+    """What the instance is to act on now. share 0: it has no share yet."""
 
     document: Document
     version: int
@@ -125,7 +125,7 @@
                 self.state = state
 
     def record_applicability(self, version: int, error: str) -> bool:
-        """Record whether a version can be applied here (error: why not); whether that was not known yet."""
+        """Record whether a version can be applied here (error: why not); False if that is known already."""
         if (version, error) == (self.ready_version, self.apply_error):
             return False
         self.ready_version, self.apply_error = version, error
@@ -202,7 +202,7 @@
         return min(self.share, self.state.share), member.index if member.active else self.place[0]
 
     def _settings_without_lease(self, now: float) -> EffectiveSettings:
-        """The most restrictive of all versions that may be in force, without repeats.
+        """The most restrictive combination of all versions that may be in force, with repeats forbidden.
 
         The share is the last one for `unled_ms`, and from then on the least one.
         """
@@ -220,7 +220,7 @@
             share = min(share or 1.0, terms.least_share * LOWEST_RATIO)
         self.share = share
         gateways = state.gateway_count(share) if share else 1
-        if long_ago or index >= gateways:  # it has no index of its own: derive one from the incarnation
+        if long_ago or index >= gateways:  # no index is reserved for it: derive one from the incarnation
             index = int.from_bytes(self.incarnation.encode()[:8], "big") % gateways
         why = (
             "can't apply what is in force: " + self.inapplicable[state.version]
--- a/tamarindfold/agreement/operator_client.py
+++ b/tamarindfold/agreement/operator_client.py
@@ -51,30 +51,30 @@
 
     def statuses(self) -> list[wire.KeeperStatus]:
         """The status of each keeper that answers. Raises NoAnswer if none does."""
-        found, reason = [], "no keepers"
+        statuses, reason = [], "no keepers"
         for keeper in range(len(self.keepers)):
             try:
-                found.append(self.call(keeper, "/v1/look", b"", wire.KeeperStatus, "look"))
+                statuses.append(self.call(keeper, "/v1/look", b"", wire.KeeperStatus, "look"))
             except NoAnswer as error:
                 reason = str(error)
-        if not found:
+        if not statuses:
             raise NoAnswer(reason)
-        return found
+        return statuses
 
     def status(self) -> wire.KeeperStatus:
-        """The status of the leader or, if none answers, of the keeper that knows most entries."""
+        """The status of the leader or, if none answers, of the keeper that knows the most entries."""
         statuses = self.statuses()
         return next((s for s in statuses if s.leader == s.keeper and s.recovered), None) or max(
             statuses, key=lambda s: decode(s.state).number
         )
 
-    def send(self, request: wire.Proposal | wire.OperatorCommand, seconds: float) -> wire.OperatorReply:
+    def send(self, request: wire.Proposal | wire.OperatorCommand, timeout_s: float) -> wire.OperatorReply:
         """Send a request to the leader, with retries. Raises NoAnswer if the result stays unknown."""
         purpose = "propose" if isinstance(request, wire.Proposal) else "command"
         body = wire.pack(request, self.key, purpose)
-        until, keeper, reason = time.monotonic() + seconds, 0, ""
+        deadline, keeper, reason = time.monotonic() + timeout_s, 0, ""
         redirected_by: set[int] = set()
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             try:
                 reply = self.call(keeper, f"/v1/{purpose}", body, wire.OperatorReply, "told")
             except NoAnswer as error:
--- a/tamarindfold/agreement/reconciler.py
+++ b/tamarindfold/agreement/reconciler.py
@@ -39,7 +39,7 @@
         self.widened: set[int] = set()  # versions that may go on from their canary instances to all
 
     def reset_waits(self, now: float) -> None:
-        """Start all waiting times again: every instance gets a full window in which to report.
+        """Restart all waiting times: every instance gets a full window in which to report.
 
         To be called when this keeper becomes the leader, and after its process was suspended, since older
         reports do not show which instances are alive.
@@ -78,15 +78,15 @@
     # ---- the roster
 
     def _next_roster_entry(self, now: float, state: State) -> Body | None:
-        seen = list(self.reports.known.items())
+        known = list(self.reports.known.items())
         leaving = tuple(
             incarnation
-            for incarnation, (_, report) in seen
+            for incarnation, (_, report) in known
             if report.intent == "leave" and (incarnation in state.members or incarnation in state.held)
         )
         if leaving:
             return Left(leaving)
-        newcomers = self._newcomers(now, state, [report for _, (_, report) in seen])
+        newcomers = self._newcomers(now, state, [report for _, (_, report) in known])
         if newcomers:
             return Joined(newcomers)
         silent_ms = state.terms.window_ms
@@ -105,10 +105,10 @@
             return RosterSettled(state.number)
         return None
 
-    def _newcomers(self, now: float, state: State, seen: list[Report]) -> tuple[Newcomer, ...]:
+    def _newcomers(self, now: float, state: State, reports: list[Report]) -> tuple[Newcomer, ...]:
         silent_ms = state.terms.window_ms
-        found: list[Newcomer] = []
-        for report in seen:
+        newcomers: list[Newcomer] = []
+        for report in reports:
             if (
                 report.intent == "join"
                 and report.incarnation not in state.members
@@ -119,11 +119,11 @@
                 room = state.terms.most_instances - len(state.members) - len(state.held)
                 if (
                     not state.join_error(newcomer)
-                    and len(found) < max(1, room)
-                    and report.name not in [n.name for n in found]
+                    and len(newcomers) < max(1, room)
+                    and report.name not in [n.name for n in newcomers]
                 ):
-                    found.append(newcomer)
-        return tuple(found)
+                    newcomers.append(newcomer)
+        return tuple(newcomers)
 
     def _oldest_known_version(self, state: State, incarnation: str) -> int:
         """The oldest version that an instance may act on, by the number of entries it reported as applied."""
@@ -131,7 +131,10 @@
         return state.version_at(report.number if report is not None else 0)
 
     def _is_reduced(self, now: float, state: State, held: HeldShare) -> bool:
-        """Whether a lost instance, without a lease since a window after the loss, is on the least share."""
+        """Whether a lost instance is on the least share by now.
+
+        Its lease ended within a window after the loss, and `unled_ms` later it dropped to the least share.
+        """
         wait_ms = (state.terms.window_ms + state.terms.unled_ms) * (1 + CLOCK_DRIFT)
         return held.index >= 0 and now - self.loss_known_at.get(held.number, now) > wait_ms
 
--- a/tamarindfold/agreement/reports.py
+++ b/tamarindfold/agreement/reports.py
@@ -20,8 +20,8 @@
     incarnation: str = field(name="life")
     name: str
     number: int = 0  # entries that it has applied
-    ready_version: int = field(name="ready", default=0)  # the next version, once it has tried that
-    apply_error: str = field(name="cannot", default="")  # why it can't apply that version; empty if it can
+    ready_version: int = field(name="ready", default=0)  # the version that it has checked last
+    apply_error: str = field(name="cannot", default="")  # why it can't apply ready_version; empty if it can
     intent: str = field(name="wants", default="stay")  # or "join", "leave"
     replaces: str = ""
     zone: int = 0
@@ -46,9 +46,9 @@
         self.known[report.incarnation] = at, report
         self.unsent[report.incarnation] = None
         if len(self.known) > MAX_REPORTS:
-            gone = next(iter(self.known))
-            del self.known[gone]
-            self.unsent.pop(gone, None)
+            longest_silent = next(iter(self.known))
+            del self.known[longest_silent]
+            self.unsent.pop(longest_silent, None)
             self.dropped += 1
 
     def with_ages(self, now: float, incarnations: Iterable[str]) -> list[Report]:
--- a/tamarindfold/agreement/state.py
+++ b/tamarindfold/agreement/state.py
@@ -1,4 +1,4 @@
-"""The state that the log adds up to: version in force, queued versions, roster, shares. No I/O, no clock.
+"""The state that results from the log: version in force, queued versions, roster, shares. No I/O, no clock.
 
 Shares: every member acts on the fraction `share` of each summed limit. A member that was lost keeps the share
 it may still act on (`held`) until it returns, is known to be gone, or has been away for so long that it acts
@@ -278,8 +278,8 @@
 
     def _equal_share(self) -> float:
         """An equal part, for each member, of what lost instances do not hold."""
-        left = max(0.0, 1.0 - sum(held.share for held in self.held.values()))
-        return max(RESERVED_PART, left) * (1 - RESERVED_PART) / max(1, len(self.members))
+        available = max(0.0, 1.0 - sum(held.share for held in self.held.values()))
+        return max(RESERVED_PART, available) * (1 - RESERVED_PART) / max(1, len(self.members))
 
     def _free_index(self) -> int:
         used = self._used_indices()
@@ -296,16 +296,16 @@
         )
 
     def _mark_lost(self, incarnation: str, version: int) -> None:
-        gone = self.members.pop(incarnation, None)
-        if gone is not None and gone.active:
+        member = self.members.pop(incarnation, None)
+        if member is not None and member.active:
             self.held[incarnation] = HeldShare(
-                gone.name, incarnation, self.number, gone.index, self.settled_share, version
+                member.name, incarnation, self.number, member.index, self.settled_share, version
             )
 
     def _settle_roster(self) -> None:
         for incarnation, member in self.members.items():
             member.active = True
-            self.held.pop(incarnation, None)  # it was lost, has returned, and has applied that
+            self.held.pop(incarnation, None)  # it had been lost, has returned and has applied the change
         self._compact_indices()
         self.share = self.settled_share = self._equal_share()
         self.unsettled_number = 0
@@ -336,12 +336,12 @@
 
     def copy(self) -> State:
         """An independent copy; documents, which are immutable, are shared."""
-        made = msgspec.structs.replace(self)
-        made.documents, made.queue = dict(self.documents), list(self.queue)
-        made.members = {key: msgspec.structs.replace(m) for key, m in self.members.items()}
-        made.held = {key: msgspec.structs.replace(h) for key, h in self.held.items()}
-        made.history = [msgspec.structs.replace(r) for r in self.history]
-        return made
+        duplicate = msgspec.structs.replace(self)
+        duplicate.documents, duplicate.queue = dict(self.documents), list(self.queue)
+        duplicate.members = {key: msgspec.structs.replace(m) for key, m in self.members.items()}
+        duplicate.held = {key: msgspec.structs.replace(h) for key, h in self.held.items()}
+        duplicate.history = [msgspec.structs.replace(r) for r in self.history]
+        return duplicate
 
 
 def encode(state: State) -> bytes:
--- a/tamarindfold/identity/audit.py
+++ b/tamarindfold/identity/audit.py
@@ -12,7 +12,7 @@
 from tamarindfold.identity.state import RegistryState
 
 UNUSED_AFTER_MS = 90 * 86_400_000.0
-HAND_OVER_GRACE_MS = 3_600_000.0  # by then the new owner has replaced the tills
+HAND_OVER_GRACE_MS = 3_600_000.0  # after a transfer; by then the new owner's tills are in use
 PLAN_CHANGE_WINDOW_MS = 30 * 86_400_000.0
 SUSPICIOUS_PLAN_CHANGES = 3  # within the window
 
--- a/tamarindfold/identity/confirm.py
+++ b/tamarindfold/identity/confirm.py
@@ -1,6 +1,6 @@
 """Decides when to query the registry about credentials that this instance does not know. No I/O, no clock.
 
-A store may use a new key before this instance has received it. An unknown credential is therefore refused
+A client may use a new key before this instance has received it. An unknown credential is therefore refused
 only after the registry has answered a query that was sent after the request arrived. One query serves all
 requests that wait, and at most one is in flight, however many unknown credentials arrive.
 """
--- a/tamarindfold/identity/files.py
+++ b/tamarindfold/identity/files.py
@@ -1,4 +1,4 @@
-"""The files next to a store: the registry's signing key, its public key, and the pepper of the key hashes."""
+"""The files next to a registry's store: signing key, public key, and the pepper of the key hashes."""
 
 from __future__ import annotations
 
--- a/tamarindfold/identity/follower.py
+++ b/tamarindfold/identity/follower.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateRequest:
-    """A request for the changes after a version; after -1: nothing is held.
+    """A request for the changes after a version; after -1: the follower holds nothing.
 
     chain: the hash chain's prefix at that version. want_snapshot: request a snapshot even where a delta
     would do.
@@ -65,11 +65,11 @@
 
     def next_request(self) -> UpdateRequest:
         """Return what to request from the registry next."""
-        held = self.tables
+        tables = self.tables
         return (
             UpdateRequest(0, -1)
-            if held is None
-            else UpdateRequest(held.epoch, held.version, held.chain, self.want_snapshot)
+            if tables is None
+            else UpdateRequest(tables.epoch, tables.version, tables.chain, self.want_snapshot)
         )
 
     def stale_ms(self, now_ms: float) -> float:
@@ -80,20 +80,20 @@
         """Apply an update whose signature has been verified."""
         match body:
             case Snapshot():
-                result = self._snapshot(body)
+                result = self._apply_snapshot(body)
             case Delta():
-                result = self._delta(body)
+                result = self._apply_delta(body)
             case Unchanged():
-                result = self._unchanged(body)
+                result = self._handle_unchanged(body)
         if not isinstance(result, Rejected):
             self.last_update_made_ms = max(self.last_update_made_ms, made_at_ms)
         return result
 
     def _is_older(self, epoch: int, version: int) -> bool:
-        held = self.tables
-        return held is not None and (epoch, version) < (held.epoch, held.version)
+        tables = self.tables
+        return tables is not None and (epoch, version) < (tables.epoch, tables.version)
 
-    def _snapshot(self, body: Snapshot) -> Result:
+    def _apply_snapshot(self, body: Snapshot) -> Result:
         if self._is_older(body.epoch, body.version):
             self.want_snapshot = False
             return Rejected(f"snapshot {body.epoch}.{body.version} is older than the data held", True)
@@ -105,7 +105,7 @@
         self.want_snapshot = False
         return Applied(body.version, True)
 
-    def _delta(self, body: Delta) -> Result:
+    def _apply_delta(self, body: Delta) -> Result:
         if self.tables is None:
             self.want_snapshot = True
             return Rejected("a delta was received before any snapshot")
@@ -120,15 +120,15 @@
             self.want_snapshot = True
         return Applied(body.version, False)
 
-    def _unchanged(self, body: Unchanged) -> Result:
-        held = self.tables
+    def _handle_unchanged(self, body: Unchanged) -> Result:
+        tables = self.tables
         if body.diverged:
             return Rejected(
                 f"the registry's history at {body.epoch}.{body.version} diverges from the data held", True
             )
-        if held is None or (body.epoch, body.version) > (held.epoch, held.version):
+        if tables is None or (body.epoch, body.version) > (tables.epoch, tables.version):
             self.want_snapshot = True
             return Rejected("the registry reported no change but is ahead of the data held")
-        if (body.epoch, body.version) < (held.epoch, held.version):
+        if (body.epoch, body.version) < (tables.epoch, tables.version):
             return Rejected(f"the registry is at {body.epoch}.{body.version}, behind the data held", True)
         return UpToDate()
--- a/tamarindfold/identity/history.py
+++ b/tamarindfold/identity/history.py
@@ -39,8 +39,8 @@
         """Return what brings a follower up to date that holds version `after`; -1: it holds nothing.
 
         A follower whose version is newer than this log or whose chain differs has a diverged history: this
-        store was restored from an old backup. It is told so and sent no data, since only an operator can
-        decide that the restored store is authoritative (Adopt).
+        store was restored from an old backup. It is notified of that and sent no data, since only an operator
+        can decide that the restored store is authoritative (Adopt).
         """
         state = self.state
         if epoch > state.epoch or (
--- a/tamarindfold/identity/model.py
+++ b/tamarindfold/identity/model.py
@@ -39,7 +39,7 @@
 
 
 class AddCustomer(Change, frozen=True):
-    """Adds a customer on a version of a plan. Its stores call from these networks (CIDR)."""
+    """Adds a customer on a version of a plan. Its clients call from these networks (CIDR)."""
 
     customer: str
     plan: str
@@ -48,7 +48,7 @@
 
 
 class SetNetworks(Change, frozen=True):
-    """Replaces the networks that a customer's stores call from."""
+    """Replaces the networks that a customer's clients call from."""
 
     customer: str
     networks: tuple[str, ...]
--- a/tamarindfold/identity/tables.py
+++ b/tamarindfold/identity/tables.py
@@ -13,9 +13,8 @@
 REVOKED = 1
 
 
-@dataclass(
-    slots=True
-)  # not frozen: one is created for each look-up, and a frozen one takes three times as long
+# not frozen: one is created for each look-up, and a frozen one takes three times as long
+@dataclass(slots=True)
 class Credential:
     """The part of a credential's record that instances need."""
 
--- a/tamarindfold/keeper/config.py
+++ b/tamarindfold/keeper/config.py
@@ -39,7 +39,9 @@
     if config.me >= len(config.keepers):
         raise ValueError(f"me: {config.me} is not below the number of keepers ({len(config.keepers)})")
     if len(config.keepers) % 2 == 0:
-        raise ValueError(f"keepers: {len(config.keepers)} bear no more losses than {len(config.keepers) - 1}")
+        raise ValueError(
+            f"keepers: {len(config.keepers)} tolerate no more failures than {len(config.keepers) - 1}"
+        )
     for i, keeper in enumerate(config.keepers):
         split_address(keeper, f"keepers[{i}]")
     if len(set(config.keepers)) < len(config.keepers):
--- a/tamarindfold/keeper/server.py
+++ b/tamarindfold/keeper/server.py
@@ -92,7 +92,7 @@
         """Queue a message for the next batch."""
         if len(self.queue) == self.queue.maxlen:
             self.dropped += 1
-        # a newer heartbeat or reply supersedes a queued one
+        # a newer heartbeat or heartbeat reply supersedes a queued one
         if isinstance(message, Heartbeat | HeartbeatReply):
             for i, queued in enumerate(self.queue):
                 if type(queued) is type(message):
@@ -152,7 +152,7 @@
         self.initial_settings = (
             load(Path(config.first_settings), Document, check) if config.first_settings else None
         )
-        self.public = self.key.public_key()
+        self.public_key = self.key.public_key()
         self.disk = LogFile(Path(config.state_dir), config.log_bytes)
         self.core = self._load_core(trusted)
         self.reports = Reports()
@@ -234,7 +234,7 @@
             self._on_disk_failure(error)
 
     def _on_disk_failure(self, error: DiskWriteError) -> None:
-        """Send nothing that is not durable: fall silent, then reload from disk as after a restart."""
+        """Stop sending, since nothing can be made durable; reload from disk later, as after a restart."""
         self.disk_failed = True
         self.counts["disk_failed"] += 1
         self.log("keeper.disk_failed", reason=str(error))
@@ -263,17 +263,17 @@
             result.set(outcome)
 
     def _run_timer(self) -> None:
-        last = now_ms()
+        last_tick_at = now_ms()
         while True:
             gevent.sleep(TICK_S)
             now = now_ms()
             if self.disk_failed:
                 continue
-            if now - last > STALL_THRESHOLD_MS:
+            if now - last_tick_at > STALL_THRESHOLD_MS:
                 self.counts["stalls"] += 1
-                self.log("keeper.stood_still", for_ms=round(now - last))
+                self.log("keeper.stood_still", for_ms=round(now - last_tick_at))
                 self.reconciler.reset_waits(now)
-            last = now
+            last_tick_at = now
             self._carry_out(self.core.tick(now))
             self._drive_leader(now)
 
@@ -361,7 +361,7 @@
             return 400, str(error).encode()
 
     def _handle_batch(self, body: bytes) -> tuple[int, bytes]:
-        batch = wire.unpack(body, wire.MessageBatch, self.public, "keeper")
+        batch = wire.unpack(body, wire.MessageBatch, self.public_key, "keeper")
         if batch.sender not in self.links:
             raise ValueError(f"there is no other keeper {batch.sender}")
         now = now_ms()
@@ -377,7 +377,7 @@
             return 503, b"this keeper has just started"
         self.counts["renewals"] += 1
         self._record_report(request)
-        # Long poll: hold the request only while there is nothing new to tell the instance.
+        # Long poll: wait only while there are no updates for the instance.
         if (
             request.number == self.core.number
             and request.wait_ms > 0
@@ -435,7 +435,7 @@
         return 200, wire.pack(wire.OperatorReply(version, reason, self.core.leader, retry), self.key, "told")
 
     def _handle_propose(self, body: bytes) -> tuple[int, bytes]:
-        request = wire.unpack(body, wire.Proposal, self.public, "propose")
+        request = wire.unpack(body, wire.Proposal, self.public_key, "propose")
         self.counts["proposals"] += 1
         if version := self._version_of(request.token):
             return self._operator_reply(version)
@@ -458,10 +458,10 @@
 
     def _version_of(self, token: str) -> int:
         """The version that was proposed with this token; 0 if there is none."""
-        return next((note.version for note in reversed(self.core.state.history) if note.token == token), 0)
+        return next((r.version for r in reversed(self.core.state.history) if r.token == token), 0)
 
     def _handle_command(self, body: bytes) -> tuple[int, bytes]:
-        request = wire.unpack(body, wire.OperatorCommand, self.public, "command")
+        request = wire.unpack(body, wire.OperatorCommand, self.public_key, "command")
         state = self.core.state
         if not self.core.leads:
             return self._operator_reply(0, "not the leader", True)
@@ -484,7 +484,7 @@
             if request.action == "drop":
                 if state.phase:
                     return self._operator_reply(0, "some act on it already: propose the old settings anew")
-                return self._reply_to(
+                return self._outcome_reply(
                     self._submit(Dropped(request.version, (f"taken back by {request.author}",))),
                     request.version,
                 )
@@ -496,10 +496,11 @@
             incarnations = tuple(i for i, held in state.held.items() if held.name == request.name)
             if not incarnations:
                 return self._operator_reply(0, f"no instance {request.name} is away with a share")
-            return self._reply_to(self._submit(Left(incarnations)), state.version)
+            return self._outcome_reply(self._submit(Left(incarnations)), state.version)
         raise ValueError(f"no command {request.action!r}")
 
-    def _reply_to(self, outcome: Outcome, version: int) -> tuple[int, bytes]:
+    def _outcome_reply(self, outcome: Outcome, version: int) -> tuple[int, bytes]:
+        """The reply for a submission: this version, if the entry was chosen."""
         return self._operator_reply(version if outcome.number else 0, outcome.reason, outcome.unknown)
 
     def _force_dropped(self, request: wire.OperatorCommand, dropped: PendingVersion) -> tuple[int, bytes]:
@@ -518,7 +519,7 @@
                 )
             )
             if not outcome.number:
-                return self._reply_to(outcome, 0)
+                return self._outcome_reply(outcome, 0)
         return self._operator_reply(self._version_of(token))
 
     def _handle_status(self, body: bytes) -> tuple[int, bytes]:
--- a/tamarindfold/modelcheck/agreement.py
+++ b/tamarindfold/modelcheck/agreement.py
@@ -24,7 +24,7 @@
 WALKS = keepers.Bounds(elections=4, proposals=3, crashes=1, wipes=1, duplicates=3)
 KEEPER_LENGTH = 80  # moves per walk
 LEASE_LENGTH = 120
-KEEPER_FAULT_WALKS = 1_500  # half as many walks are made per seed and planted fault
+KEEPER_FAULT_WALKS = 1_500  # twice the number of walks that are made per seed and planted fault
 LEASE_FAULT_WALKS = 1_000  # approximate limit of walks per planted fault
 
 
--- a/tamarindfold/modelcheck/keepers.py
+++ b/tamarindfold/modelcheck/keepers.py
@@ -57,12 +57,12 @@
 
 def clone(keeper: Keeper) -> Keeper:
     """An independent copy of a keeper; entries and messages are immutable and shared."""
-    made = copy(keeper)
-    made.state = keeper.state.copy()
-    made.entries, made.submissions = deque(keeper.entries), deque(keeper.submissions)
-    made.state_replies, made.promises = dict(keeper.state_replies), dict(keeper.promises)
-    made.acceptors, made.last_reply_at = set(keeper.acceptors), dict(keeper.last_reply_at)
-    return made
+    duplicate = copy(keeper)
+    duplicate.state = keeper.state.copy()
+    duplicate.entries, duplicate.submissions = deque(keeper.entries), deque(keeper.submissions)
+    duplicate.state_replies, duplicate.promises = dict(keeper.state_replies), dict(keeper.promises)
+    duplicate.acceptors, duplicate.last_reply_at = set(keeper.acceptors), dict(keeper.last_reply_at)
+    return duplicate
 
 
 class KeeperWorld:
@@ -77,7 +77,7 @@
     - `deliver M`: the message arrives; one that never does is lost.
     - `repeat M`: the message arrives, and may arrive again.
 
-    The invariant: no keeper learns that an entry is chosen where another one has been chosen.
+    The invariant: no keeper learns of a chosen entry that differs from the one chosen before at that number.
     """
 
     keeper_class: type[Keeper] = Keeper
@@ -150,7 +150,8 @@
                 remaining = msgspec.structs.replace(remaining, duplicates=remaining.duplicates - 1)
             else:
                 network = network - {message}
-            # Otherwise keepers that heard their leader lately would reject candidates, which hides orders.
+            # Otherwise keepers that recently heard from their leader would reject candidates, and some orders
+            # of events would never be explored.
             keeper.leader_heard_at = -1e9
             actions = keeper.receive(0.0, sender, content)
         else:
@@ -215,7 +216,7 @@
         match action:
             case Send(to, content):
                 return network | {(me, to, content)}, disk
-            case Save(promised, vote, chosen, _):  # logs are too short here for a snapshot
+            case Save(promised, vote, chosen, _):  # these logs are too short for a snapshot
                 return network, StoredDisk(promised, vote, disk.entries + chosen)
             case Outcome() | EntriesChosen():
                 return network, disk
--- a/tamarindfold/modelcheck/leases.py
+++ b/tamarindfold/modelcheck/leases.py
@@ -41,13 +41,13 @@
 
 
 _LEASE_PERIOD = ("time", "round") * 5  # a little longer than a lease
-# Moves made before a walk begins, to reach states that a random walk would seldom reach. "one": an instance.
+# Moves made before a walk begins, to reach states that a random walk would seldom reach. "one": one instance.
 STARTING_SCENARIOS: dict[str, tuple[str, ...]] = {
-    "all is well": (),
-    "one reaches no keeper": ("cut 2", *_LEASE_PERIOD),
-    "one has answers under way for long": ("lag 2", *_LEASE_PERIOD),
+    "healthy fleet": (),
+    "one is partitioned from all keepers": ("cut 2", *_LEASE_PERIOD),
+    "replies to one are delayed": ("lag 2", *_LEASE_PERIOD),
     "one reaches a single keeper": ("lone", *_LEASE_PERIOD),
-    "one reaches a single keeper while others come and go": (
+    "one reaches a single keeper while the roster changes": (
         "lone",
         *_LEASE_PERIOD,
         "newcomer",
@@ -55,10 +55,10 @@
         "stop 1",
         *_LEASE_PERIOD,
     ),
-    "one follows a keeper that is behind": ("strand", *_LEASE_PERIOD, *_LEASE_PERIOD),
-    "one stands still": ("stop 2", *_LEASE_PERIOD, *_LEASE_PERIOD),
-    "one is lost while a version is on its way": ("cut 1", "propose", *_LEASE_PERIOD, *_LEASE_PERIOD),
-    "a version came while answers were under way": (
+    "one follows a keeper that lags behind": ("strand", *_LEASE_PERIOD, *_LEASE_PERIOD),
+    "one is suspended": ("stop 2", *_LEASE_PERIOD, *_LEASE_PERIOD),
+    "one is lost while a version is pending": ("cut 1", "propose", *_LEASE_PERIOD, *_LEASE_PERIOD),
+    "a version is proposed while replies are delayed": (
         "lag 2",
         "propose",
         *_LEASE_PERIOD,
@@ -93,11 +93,11 @@
         self.suspended = self.partitioned = False
 
     def copy(self) -> _Instance:
-        made = copy(self)
-        made.lease = copy(self.lease)
-        made.lease.confirmed_at = dict(self.lease.confirmed_at)
-        made.requests, made.replies = dict(self.requests), dict(self.replies)
-        return made
+        duplicate = copy(self)
+        duplicate.lease = copy(self.lease)
+        duplicate.lease.confirmed_at = dict(self.lease.confirmed_at)
+        duplicate.requests, duplicate.replies = dict(self.requests), dict(self.replies)
+        return duplicate
 
 
 class LeaseWorld:
@@ -187,21 +187,24 @@
         return possible
 
     def after(self, move: str) -> LeaseWorld:
-        made = copy(self)
-        made.keepers = [clone(keeper) for keeper in self.keepers]
-        made.reports, made.reconcilers = [], []
+        successor = copy(self)
+        successor.keepers = [clone(keeper) for keeper in self.keepers]
+        successor.reports, successor.reconcilers = [], []
         for reports, reconciler in zip(self.reports, self.reconcilers, strict=True):
-            other = copy(reports)
-            other.known, other.unsent = dict(reports.known), dict(reports.unsent)
-            made.reports.append(other)
+            reports_copy = copy(reports)
+            reports_copy.known, reports_copy.unsent = dict(reports.known), dict(reports.unsent)
+            successor.reports.append(reports_copy)
             reconciler_copy = copy(reconciler)
-            reconciler_copy.reports, reconciler_copy.loss_known_at = other, dict(reconciler.loss_known_at)
-            made.reconcilers.append(reconciler_copy)
-        made.instances = [instance.copy() for instance in self.instances]
-        made.first_applied_at = dict(self.first_applied_at)
-        made._apply(move)
-        made._check_invariants()
-        return made
+            reconciler_copy.reports, reconciler_copy.loss_known_at = (
+                reports_copy,
+                dict(reconciler.loss_known_at),
+            )
+            successor.reconcilers.append(reconciler_copy)
+        successor.instances = [instance.copy() for instance in self.instances]
+        successor.first_applied_at = dict(self.first_applied_at)
+        successor._apply(move)
+        successor._check_invariants()
+        return successor
 
     def key(self) -> Hashable:
         return (
@@ -362,14 +365,14 @@
 
     def _make_leader(self, number: int) -> None:
         keeper = self.keepers[number]
-        for other in self.keepers:
-            other.leader_heard_at = -1e9
+        for peer in self.keepers:
+            peer.leader_heard_at = -1e9
         if keeper.leads:
             return
         keeper.election_due = self.now
         self._carry_out(number, keeper.tick(self.now))
-        for peer in (p for p in range(3) if p != number):
-            self._deliver_between(number, peer)
+        for follower in (k for k in range(3) if k != number):
+            self._deliver_between(number, follower)
         if keeper.leads:
             self.leader = number
             self.reconcilers[number].reset_waits(self.now)
@@ -383,10 +386,10 @@
             self._carry_out(self.leader, keeper.tick(self.now))
             self._deliver_between(self.leader, peer)
 
-    def _deliver_between(self, one: int, other: int) -> None:
+    def _deliver_between(self, first: int, second: int) -> None:
         for _ in range(20):
             delivered = False
-            for sender, to in ((one, other), (other, one)):
+            for sender, to in ((first, second), (second, first)):
                 for message in self._take_messages(sender, to):
                     delivered = True
                     if isinstance(message, HeartbeatReply):
@@ -460,6 +463,6 @@
             terms = effective.document.terms
             if not effective.has_lease and effective.share <= terms.least_share * LOWEST_RATIO + TOLERANCE:
                 continue  # on the lowest share, an instance uses no index of its own
-            if (other := users.setdefault(effective.index, instance.lease.name)) != instance.lease.name:
-                return f"{other} and {instance.lease.name} both use index {effective.index}"
+            if (user := users.setdefault(effective.index, instance.lease.name)) != instance.lease.name:
+                return f"{user} and {instance.lease.name} both use index {effective.index}"
         return ""
--- a/tamarindfold/modelcheck/planted.py
+++ b/tamarindfold/modelcheck/planted.py
@@ -59,7 +59,7 @@
 
 
 class _IgnoresBallotOfVote(Keeper):
-    """Takes the entry that it accepted as chosen, even if it accepted it in another ballot."""
+    """Assumes that the entry that it accepted is chosen, even if it accepted it in another ballot."""
 
     def _learn_chosen(self, ballot: tuple[int, int], number: int) -> None:
         vote = self._pending_vote()
--- a/tamarindfold/modelcheck/simulated.py
+++ b/tamarindfold/modelcheck/simulated.py
@@ -32,7 +32,10 @@
 
 
 class SimulatedFleet:
-    """A simulated fleet; `now` is the simulated time in milliseconds."""
+    """A simulated fleet; `now` is the simulated time in milliseconds.
+
+    In its methods `k` is the index of a keeper, and `i` that of an instance.
+    """
 
     def __init__(
         self,
@@ -197,8 +200,8 @@
             if lease.state.queue:
                 lease.ready_version, lease.apply_error = lease.state.queue[0].version, ""
         self.refresh(i)
-        wait = 0.0 if lease.has_lease else lease.state.terms.window_ms / POLLS_PER_WINDOW / 4
-        self._schedule(wait, self._send_request, i, k)
+        wait_ms = 0.0 if lease.has_lease else lease.state.terms.window_ms / POLLS_PER_WINDOW / 4
+        self._schedule(wait_ms, self._send_request, i, k)
 
     def refresh(self, i: int) -> None:
         """Update the version and the share that an instance applies now."""
--- a/tamarindfold/registry/server.py
+++ b/tamarindfold/registry/server.py
@@ -1,6 +1,6 @@
 """Serves the store to gateways over HTTP: updates by long poll, and reports of credential use.
 
-Other processes commit to the store's file; this one polls it for commits and passes them on.
+Other processes commit to the store's file; this one polls it for commits and sends them to waiting gateways.
 """
 
 from __future__ import annotations
@@ -20,8 +20,7 @@
 from tamarindfold.http1.requests import Request, RequestReader
 from tamarindfold.http1.serve import serve
 from tamarindfold.identity.store import Store, StoreError
-from tamarindfold.identity.wire import Unchanged
-from tamarindfold.identity.wire import encode_update
+from tamarindfold.identity.wire import Unchanged, encode_update
 from tamarindfold.ingress.clock import SteadyClock
 
 STORE_POLL_INTERVAL_S = 0.02
@@ -126,12 +125,12 @@
         state = self.store.history.state
         if self.cached_version != (state.epoch, state.version):
             self.cached_envelopes, self.cached_version = {}, (state.epoch, state.version)
-        start = (epoch, after) if not hasattr(body, "columns") else (0, -1)
-        if start not in self.cached_envelopes:  # encoded once for all followers of that version
+        cache_key = (epoch, after) if not hasattr(body, "columns") else (0, -1)
+        if cache_key not in self.cached_envelopes:  # encoded once for all followers of that version
             if len(self.cached_envelopes) >= MAX_CACHED_ENVELOPES:
                 self.cached_envelopes.clear()
-            self.cached_envelopes[start] = encode_update(body, self.clock(), self.key)
-        return self.cached_envelopes[start]
+            self.cached_envelopes[cache_key] = encode_update(body, self.clock(), self.key)
+        return self.cached_envelopes[cache_key]
 
     def _record_uses(self, body: bytes) -> None:
         labels = self.store.history.state.credential_labels
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -35,7 +35,7 @@
 from tamarindfold.cli.main import cli
 from tamarindfold.identity.files import create_key_pair
 from tamarindfold.interface import Plan, Refuse, SettingsChanged
-from tamarindfold.interface import Send as SendOn
+from tamarindfold.interface import Send as SendRequest
 from tamarindfold.keeper.disk import LogFile
 
 BASE: dict[str, Any] = {
@@ -315,9 +315,9 @@
     confirm(lease, state, 0.0)
     assert lease.effective_settings(1.0).share == pytest.approx(0.5)
     terms = state.terms
-    acting = lease.effective_settings(terms.lease_ms + 1)
-    assert not acting.has_lease and acting.share == pytest.approx(0.5) and acting.number == 0
-    assert {c.effect for c in acting.document.classes} == {"unsafe"}
+    effective = lease.effective_settings(terms.lease_ms + 1)
+    assert not effective.has_lease and effective.share == pytest.approx(0.5) and effective.number == 0
+    assert {c.effect for c in effective.document.classes} == {"unsafe"}
     # after a suspension: the time on the old share counts from the end of the lease, not from the resumption
     assert lease.effective_settings(terms.lease_ms + terms.unled_ms + 1).share == pytest.approx(
         terms.least_share * 0.1
@@ -384,17 +384,17 @@
     file.close()
     path = tmp_path / "keeper.log"
     path.write_bytes(path.read_bytes()[:-3])
-    found, torn = LogFile(tmp_path, 1 << 20).load()
-    assert found.promised == (1, 0) and [e.number for e in found.entries or []] == [1] and torn > 0
+    found, truncated_bytes = LogFile(tmp_path, 1 << 20).load()
+    assert found.promised == (1, 0) and [e.number for e in found.entries or []] == [1] and truncated_bytes > 0
 
 
 def test_a_long_log_file_is_replaced_by_a_snapshot(tmp_path: Path) -> None:
     file, state = LogFile(tmp_path, 300), State()
     file.load()
     for number in range(20):
-        made = make_entry(number + 1, state.chain, Left((f"x{number}",)))
-        state.apply(made)
-        file.write(Save((1, 0), None, (made,)), state)
+        entry = make_entry(number + 1, state.chain, Left((f"x{number}",)))
+        state.apply(entry)
+        file.write(Save((1, 0), None, (entry,)), state)
     assert file.compactions and file.size < 1000
     found, _ = LogFile(tmp_path, 300).load()
     assert Keeper(0, 3, found, 1, 0.0).state.number == 20
@@ -404,32 +404,35 @@
 
 
 def test_a_change_of_the_gateway_count_never_grants_quota_twice() -> None:
-    one = Plan(rate=10, burst=30)
-    module = gateway(plans=(one,), gateways=3, index=0)
+    quota_plan = Plan(rate=10, burst=30)
+    module = gateway(plans=(quota_plan,), gateways=3, index=0)
     for number in range(12):
         module.handle(START, request(number, customer=1, width=9))
     customer = module.customers[1]
-    left = customer.tokens
-    assert left < 5
-    module.handle(START, SettingsChanged(settings(plans=(one,), gateways=2, index=0)))
+    tokens_before = customer.tokens
+    assert tokens_before < 5
+    module.handle(START, SettingsChanged(settings(plans=(quota_plan,), gateways=2, index=0)))
     module.handle(START, request(90, customer=1, width=9))
-    assert customer.even_share == 0.5 and customer.tokens <= left  # the added part of the bucket is empty
+    # the added part of the bucket is empty
+    assert customer.even_share == 0.5 and customer.tokens <= tokens_before
     # a customer that is new here: other gateways may have spent the added part
     module.handle(START, request(91, customer=2, width=9))
     assert module.customers[2].tokens <= 30 / 3
-    module.handle(START, SettingsChanged(settings(plans=(one,), gateways=10, index=0)))
+    module.handle(START, SettingsChanged(settings(plans=(quota_plan,), gateways=10, index=0)))
     module.handle(START, request(92, customer=2, width=99))
     assert module.customers[2].tokens <= 30 / 10
 
 
 def test_the_buckets_of_a_new_gateway_start_empty_and_fill_at_their_rate() -> None:
-    one = Plan(rate=10, burst=30)
-    module = gateway(plans=(one,), gateways=5, index=4)
-    module.handle(START, SettingsChanged(settings(plans=(one,), gateways=5, index=4), True))
+    quota_plan = Plan(rate=10, burst=30)
+    module = gateway(plans=(quota_plan,), gateways=5, index=4)
+    module.handle(START, SettingsChanged(settings(plans=(quota_plan,), gateways=5, index=4), True))
     refused = module.handle(START, request(1, customer=1, width=5))
-    assert module.customers[1].tokens < 0.01 and not any(isinstance(a, SendOn) for a in refused)
+    assert module.customers[1].tokens < 0.01 and not any(isinstance(a, SendRequest) for a in refused)
     assert isinstance(refused[-1], Refuse)
-    assert any(isinstance(a, SendOn) for a in module.handle(START + 3000, request(2, customer=1, width=5)))
+    assert any(
+        isinstance(a, SendRequest) for a in module.handle(START + 3000, request(2, customer=1, width=5))
+    )
 
 
 # ---- bad input
@@ -442,7 +445,7 @@
         (
             ["keeper", "FILE"],
             "me: 0\nkeepers: ['127.0.0.1:1', '127.0.0.1:2']\nstate_dir: x\nkey: y\n",
-            "bear no more losses",
+            "2 tolerate no more failures than 1",
         ),
         (["keeper", "FILE"], "me: 0\nkeepers: ['127.0.0.1:1']\nstate_dir: x\nkey: /nowhere\n", "/nowhere"),
         (
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -53,15 +53,15 @@
     return Issue(name, "client", *keys.hash_client_id(name), customer, from_ms)
 
 
-def history(*changes, at: float = 1000.0) -> History:
-    made = History()
+def make_history(*changes, at: float = 1000.0) -> History:
+    history = History()
     for number, change in enumerate([*BASE, *changes], 1):
-        made.extend(change, at, 100 + number)
-    return made
+        history.extend(change, at, 100 + number)
+    return history
 
 
-def tables(made: History) -> Tables:
-    return Tables(made.snapshot())
+def make_tables(history: History) -> Tables:
+    return Tables(history.snapshot())
 
 
 # ---- keys
@@ -87,15 +87,19 @@
 
 def test_key_resolves_only_with_its_secret_and_the_right_pepper() -> None:
     key_id, text = keys.generate()
-    made = history(Issue("k", "key", key_id, keys.digest(PEPPER, keys.parse(text)[1]), "anna"))
-    assert resolve.by_key(tables(made), text, PEPPER, 2000, 0) == resolve.ResolvedCredential(
+    history = make_history(Issue("k", "key", key_id, keys.digest(PEPPER, keys.parse(text)[1]), "anna"))
+    assert resolve.by_key(make_tables(history), text, PEPPER, 2000, 0) == resolve.ResolvedCredential(
         1, 0, key_id, math.inf
     )
     body = text[:18] + "0" * 26
     forged = body + "_" + keys._checksum(body)
-    assert resolve.by_key(tables(made), forged, PEPPER, 2000, 0) == resolve.Denied("no such credential")
-    assert resolve.by_key(tables(made), text, b"q" * 32, 2000, 0) == resolve.Denied("no such credential")
-    assert resolve.by_key(tables(made), keys.generate()[1], PEPPER, 2000, 0).unknown
+    assert resolve.by_key(make_tables(history), forged, PEPPER, 2000, 0) == resolve.Denied(
+        "no such credential"
+    )
+    assert resolve.by_key(make_tables(history), text, b"q" * 32, 2000, 0) == resolve.Denied(
+        "no such credential"
+    )
+    assert resolve.by_key(make_tables(history), keys.generate()[1], PEPPER, 2000, 0).unknown
 
 
 # ---- validation of changes
@@ -140,7 +144,7 @@
 
 @pytest.mark.parametrize("change", INVALID_CHANGES, ids=lambda c: type(c).__name__)
 def test_invalid_change_leaves_the_state_unmodified(change) -> None:
-    made = history(
+    history = make_history(
         client("till", "anna"),
         client("gone", "anna"),
         Revoke("gone", 1000),
@@ -148,54 +152,54 @@
         client("moving", "anna"),
         Move("moving", "bert", 5000),
     )
-    before = build_snapshot(made.state, 0)
+    before = build_snapshot(history.state, 0)
     with pytest.raises(InvalidChange):
-        made.extend(change, 1000.0, 1)
-    assert build_snapshot(made.state, 0) == before
+        history.extend(change, 1000.0, 1)
+    assert build_snapshot(history.state, 0) == before
 
 
 # ---- times of effect and clock skew
 
 
 def test_transfer_takes_effect_at_its_time_without_skew_tolerance() -> None:
-    t = tables(history(client("till", "anna"), Move("till", "bert", 5000)))
-    assert [resolve.by_client(t, "till", at, 1000).customer for at in (4999, 5000, 5001)] == [1, 2, 2]
+    tables = make_tables(make_history(client("till", "anna"), Move("till", "bert", 5000)))
+    assert [resolve.by_client(tables, "till", at, 1000).customer for at in (4999, 5000, 5001)] == [1, 2, 2]
 
 
 def test_validity_period_is_extended_by_the_skew_but_a_revocation_is_immediate() -> None:
-    t = tables(history(client("till", "anna", 3000), Retire("till", 5000)))
+    tables = make_tables(make_history(client("till", "anna", 3000), Retire("till", 5000)))
     valid = [
-        isinstance(resolve.by_client(t, "till", at, 1000), resolve.ResolvedCredential)
+        isinstance(resolve.by_client(tables, "till", at, 1000), resolve.ResolvedCredential)
         for at in (1999, 2000, 4999, 5999, 6000)
     ]
     assert valid == [False, True, True, True, False]
-    t = tables(history(client("till", "anna"), Revoke("till", 1000)))
-    assert resolve.by_client(t, "till", 500, 10_000) == resolve.Denied("the credential was revoked")
+    tables = make_tables(make_history(client("till", "anna"), Revoke("till", 1000)))
+    assert resolve.by_client(tables, "till", 500, 10_000) == resolve.Denied("the credential was revoked")
 
 
 def test_plan_change_takes_effect_at_its_time() -> None:
-    t = tables(history(client("till", "anna"), SetPlan("anna", "large", 1, 5000)))
-    assert [resolve.by_client(t, "till", at, 1000).plan for at in (4999, 5000)] == [0, 1]
+    tables = make_tables(make_history(client("till", "anna"), SetPlan("anna", "large", 1, 5000)))
+    assert [resolve.by_client(tables, "till", at, 1000).plan for at in (4999, 5000)] == [0, 1]
 
 
 # ---- following the registry
 
 
 def test_delta_is_applied_in_sequence_and_a_gap_requests_a_snapshot() -> None:
-    made, follower = history(client("till", "anna")), Follower()
+    history, follower = make_history(client("till", "anna")), Follower()
     request = follower.next_request()
     assert isinstance(
         follower.apply_update(
-            made.since(request.epoch, request.after, request.chain, request.want_snapshot), 1.0
+            history.since(request.epoch, request.after, request.chain, request.want_snapshot), 1.0
         ),
         Applied,
     )
-    made.extend(SetPlan("anna", "large", 1, 2000), 1500.0, 201)
+    history.extend(SetPlan("anna", "large", 1, 2000), 1500.0, 201)
     request = follower.next_request()
-    delta = made.since(request.epoch, request.after, request.chain, request.want_snapshot)
+    delta = history.since(request.epoch, request.after, request.chain, request.want_snapshot)
     assert len(delta.customers) == 1 and not delta.credentials
-    made.extend(client("second", "bert"), 1500.0, 202)
-    later = made.since(1, 6, 201, False)
+    history.extend(client("second", "bert"), 1500.0, 202)
+    later = history.since(1, 6, 201, False)
     assert isinstance(follower.apply_update(later, 2.0), Rejected) and follower.next_request().want_snapshot
     assert follower.tables.version == 5
     assert isinstance(follower.apply_update(delta, 2.0), Applied)
@@ -205,12 +209,12 @@
 
 
 def test_delta_that_overlaps_the_version_held_is_applied() -> None:
-    made, follower = history(), Follower()
-    follower.apply_update(made.snapshot(), 1.0)
-    made.extend(DefinePlan("mid", FIGURES), 1500.0, 201)
-    first = made.since(1, 4, 104, False)
-    made.extend(AddCustomer("carl", "mid", 1), 1500.0, 202)
-    both = made.since(1, 4, 104, False)
+    history, follower = make_history(), Follower()
+    follower.apply_update(history.snapshot(), 1.0)
+    history.extend(DefinePlan("mid", FIGURES), 1500.0, 201)
+    first = history.since(1, 4, 104, False)
+    history.extend(AddCustomer("carl", "mid", 1), 1500.0, 202)
+    both = history.since(1, 4, 104, False)
     follower.apply_update(first, 1.0)
     assert isinstance(follower.apply_update(both, 1.0), Applied)
     assert [p.plan for p in follower.tables.plans] == ["small", "large", "mid"]
@@ -218,11 +222,11 @@
 
 
 def test_registry_restored_from_an_old_backup_is_followed_only_after_adoption() -> None:
-    made, follower = history(client("till", "anna")), Follower()
-    follower.apply_update(made.snapshot(), 1.0)
-    made.extend(Revoke("till", 1500.0), 1500.0, 201)
-    follower.apply_update(made.since(1, 5, 105, False), 2.0)
-    restored = history(client("till", "anna"))  # the revocation is lost
+    history, follower = make_history(client("till", "anna")), Follower()
+    follower.apply_update(history.snapshot(), 1.0)
+    history.extend(Revoke("till", 1500.0), 1500.0, 201)
+    follower.apply_update(history.since(1, 5, 105, False), 2.0)
+    restored = make_history(client("till", "anna"))  # the revocation is lost
     for answer in (restored.since(1, 6, 201, False), restored.since(1, 6, 201, True), restored.snapshot()):
         result = follower.apply_update(answer, 3.0)
         assert isinstance(result, Rejected) and result.rolled_back
@@ -238,7 +242,7 @@
 
 
 def test_truncated_altered_or_wrongly_signed_envelope_is_rejected() -> None:
-    data = encode_update(history().snapshot(), 1.0, SIGNING)
+    data = encode_update(make_history().snapshot(), 1.0, SIGNING)
     public = SIGNING.public_key()
     assert decode_update(data, public)[0].version == 4
     with pytest.raises(BadUpdate, match="another key"):
@@ -253,13 +257,15 @@
 def test_snapshot_with_inconsistent_columns_is_rejected_and_the_old_tables_stay() -> None:
     from dataclasses import replace
 
-    made = history(client("till", "anna")).snapshot()
+    snapshot = make_history(client("till", "anna")).snapshot()
     follower = Follower()
-    follower.apply_update(made, 1.0)
+    follower.apply_update(snapshot, 1.0)
     held = follower.tables
     for field in ("names", "index", "digests", "customers", "moved_at", "flags", "customer_next"):
         cut = replace(
-            made, version=9, columns=replace(made.columns, **{field: getattr(made.columns, field)[:-1]})
+            snapshot,
+            version=9,
+            columns=replace(snapshot.columns, **{field: getattr(snapshot.columns, field)[:-1]}),
         )
         with pytest.raises(BadTables):
             Tables(cut)
@@ -267,13 +273,13 @@
 
 
 def test_saved_copy_truncated_anywhere_loads_up_to_its_last_complete_envelope(tmp_path) -> None:
-    made, path, public = history(), tmp_path / "copy.bin", SIGNING.public_key()
-    saved_copy.save(path, encode_update(made.snapshot(), 1.0, SIGNING), True)
+    history, path, public = make_history(), tmp_path / "copy.bin", SIGNING.public_key()
+    saved_copy.save(path, encode_update(history.snapshot(), 1.0, SIGNING), True)
     sizes = {path.stat().st_size: 4}
     for i in range(3):
-        made.extend(client(f"c{i}", "anna"), 1500.0, 201 + i)
+        history.extend(client(f"c{i}", "anna"), 1500.0, 201 + i)
         saved_copy.save(
-            path, encode_update(made.since(1, 4 + i, 200 + i if i else 104, False), 1.0, SIGNING), False
+            path, encode_update(history.since(1, 4 + i, 200 + i if i else 104, False), 1.0, SIGNING), False
         )
         sizes[path.stat().st_size] = 5 + i
     data = path.read_bytes()
@@ -312,8 +318,8 @@
 
     @initialize()
     def begin(self) -> None:
-        self.now, self.made, self.follower = 1000.0, history(), Follower()
-        self.follower.apply_update(self.made.snapshot(), 1.0)
+        self.now, self.history, self.follower = 1000.0, make_history(), Follower()
+        self.follower.apply_update(self.history.snapshot(), 1.0)
         self.owner: dict[str, list[tuple[float, str]]] = {}
         self.validity: dict[str, tuple[float, float]] = {}
         self.revoked: set[str] = set()
@@ -321,7 +327,7 @@
 
     def commit(self, change) -> bool:
         try:
-            self.made.extend(change, self.now, self.made.state.version + 101)
+            self.history.extend(change, self.now, self.history.state.version + 101)
         except InvalidChange:
             return False
         return True
@@ -364,7 +370,7 @@
     def follower_agrees_with_the_record(self) -> None:
         request = self.follower.next_request()
         result = self.follower.apply_update(
-            self.made.since(request.epoch, request.after, request.chain, request.want_snapshot), self.now
+            self.history.since(request.epoch, request.after, request.chain, request.want_snapshot), self.now
         )
         assert isinstance(result, Applied | UpToDate)
         for at in (self.now, self.now + 15.0, self.now + 100.0):
@@ -454,12 +460,12 @@
 
 
 def test_two_writers_see_each_others_commits(tmp_path) -> None:
-    one = create_store(tmp_path / "r.db")
-    two = Store(tmp_path / "r.db")
-    one.commit([AddCustomer("carl", "small", 1)], 2000.0)
-    assert two.commit([AddCustomer("dora", "small", 1)], 2000.0) == 6
-    assert one.refresh() and set(one.history.state.customers) == {"anna", "bert", "carl", "dora"}
-    assert one.history.chains == two.history.chains
+    first = create_store(tmp_path / "r.db")
+    second = Store(tmp_path / "r.db")
+    first.commit([AddCustomer("carl", "small", 1)], 2000.0)
+    assert second.commit([AddCustomer("dora", "small", 1)], 2000.0) == 6
+    assert first.refresh() and set(first.history.state.customers) == {"anna", "bert", "carl", "dora"}
+    assert first.history.chains == second.history.chains
 
 
 def test_log_is_append_only_and_tampering_is_detected(tmp_path) -> None:
@@ -490,20 +496,20 @@
 
 
 def test_look_up_and_delta_with_100_000_keys(tmp_path) -> None:
-    made = history()
+    history = make_history()
     for i in range(100_000):
-        made.extend(
+        history.extend(
             Issue(f"k{i}", "key", (i * 0x9E3779B97F4A7C15) % 2**64, i.to_bytes(16, "big"), "anna"), 1000.0, i
         )
     follower = Follower()
-    body, _ = decode_update(encode_update(made.snapshot(), 1.0, SIGNING), SIGNING.public_key())
+    body, _ = decode_update(encode_update(history.snapshot(), 1.0, SIGNING), SIGNING.public_key())
     follower.apply_update(body, 1.0)
     assert follower.tables.rows == 100_000
     for i in range(0, 100_000, 997):
         assert follower.tables.credential((i * 0x9E3779B97F4A7C15) % 2**64).digest == i.to_bytes(16, "big")
     assert follower.tables.credential(12345) is None
-    made.extend(Retire("k7", 5000.0), 1000.0, 1)
-    follower.apply_update(made.since(1, made.state.version - 1, made.chains[-2], False), 1.0)
+    history.extend(Retire("k7", 5000.0), 1000.0, 1)
+    follower.apply_update(history.since(1, history.state.version - 1, history.chains[-2], False), 1.0)
     assert follower.tables.credential(7 * 0x9E3779B97F4A7C15 % 2**64).ends_ms == 5000.0
 
 
@@ -522,7 +528,7 @@
         SetPlan("anna", "small", 1, 1000.0),
         SetPlan("anna", "large", 1, 1000.0),
     ]
-    made = history(*changes)
+    history = make_history(*changes)
     log = [(n, 1000.0, change) for n, change in enumerate([*BASE, *changes], 1)]
     late = 100 * DAY
     uses = [
@@ -533,7 +539,7 @@
         ("moved", "10.1.3.0/24", 1500.0, late, 3),
         ("ghost", "10.1.1.0/24", 1.0, late, 1),
     ]
-    found = {(f.kind, f.subject): f for f in audit(made.state, log, uses, late)}
+    found = {(f.kind, f.subject): f for f in audit(history.state, log, uses, late)}
     assert set(found) == {
         ("two_networks", "both"),
         ("foreign_network", "foreign"),
@@ -543,7 +549,7 @@
         ("unknown", "ghost"),
     }
     assert found["used_after_hand_over", "moved"].evidence["still_from"] == {"10.1.3.0/24": late}
-    early = {(f.kind, f.subject) for f in audit(made.state, log, [], 1000.0 + DAY)}
+    early = {(f.kind, f.subject) for f in audit(history.state, log, [], 1000.0 + DAY)}
     assert early == {("plan_jumps", "anna")}
 
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -80,10 +80,10 @@
 
 @pytest.fixture
 def registry(tmp_path):
-    made = RegistryFixture(tmp_path)
-    yield made
-    made.close()
-    made.store.close()
+    fixture = RegistryFixture(tmp_path)
+    yield fixture
+    fixture.close()
+    fixture.store.close()
 
 
 def gateway(rig, registry, folder, index: int = 0, **changes):
@@ -120,9 +120,9 @@
         assert r.ask(token=old).status == 200
     _, new = registry.issue_key("anna")
     registry.commit(Retire(old_label, registry.now() + 60_000))
-    asked = [gevent.spawn(r.ask, token=key) for r in rigs for key in (old, new)]
-    gevent.joinall(asked)
-    assert [a.value.status for a in asked] == [200] * 6
+    greenlets = [gevent.spawn(r.ask, token=key) for r in rigs for key in (old, new)]
+    gevent.joinall(greenlets)
+    assert [g.value.status for g in greenlets] == [200] * 6
 
 
 def test_unknown_key_is_refused_only_after_the_registry_confirmed_it(rig, registry, tmp_path) -> None:
@@ -139,9 +139,9 @@
 def test_many_unknown_keys_share_one_query_at_a_time(rig, registry, tmp_path) -> None:
     r = gateway(rig, registry, tmp_path)
     wait_until_current(registry, r)
-    asked = [gevent.spawn(r.ask, token=keys.generate()[1]) for _ in range(60)]
-    gevent.joinall(asked)
-    assert {a.value.status for a in asked} == {401}
+    greenlets = [gevent.spawn(r.ask, token=keys.generate()[1]) for _ in range(60)]
+    gevent.joinall(greenlets)
+    assert {g.value.status for g in greenlets} == {401}
     assert r.ingress.identity.confirmations.round < 30
 
 
@@ -187,15 +187,15 @@
     wait_until_current(registry, r)
     for server in r.servers:
         server.inject(Fault(kind="reset_after_run"))
-    connect, done = r.ingress.pool.connect, []
+    connect, revoked = r.ingress.pool.connect, []
 
-    def late(*args):
-        if r.entries("ran") and not done:
-            done.append(registry.commit(Revoke(label, registry.now())))
+    def connect_after_revocation(*args):
+        if r.entries("ran") and not revoked:
+            revoked.append(registry.commit(Revoke(label, registry.now())))
             wait_until_current(registry, r)
         return connect(*args)
 
-    r.ingress.pool.connect = late
+    r.ingress.pool.connect = connect_after_revocation
     answer = r.ask(token=key)
     assert (answer.status, answer.outcome) == (502, "failed")
     assert len(r.entries("received")) == 1
