--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -391,6 +391,7 @@
         if a.status == 429
     ]
     assert retry_times and min(retry_times) > last_retry_at
+    second.ingress.background.stop()  # as Ingress.stop does, or a periodic snapshot could replace the last one
     second.ingress.recorder.close()
     header, rows = snapshot_format.decode_snapshot((tmp_path / "recovery-0.snap").read_bytes())
     assert header.last and len(rows) == 1
