--- a/tests/test_forward_front.py
+++ b/tests/test_forward_front.py
@@ -15,7 +15,8 @@
     """Starts a gateway with both fronts; returns it with functions that send sub-requests and reports."""
 
     def make(trusted: str = "127.0.0.0/8", **changes):
-        r = rig(forward={"trusted": [trusted], "lapse_ms": changes.pop("lapse_ms", 60_000)}, **changes)
+        forward = {"trusted": [trusted], "lapse_ms": changes.pop("lapse_ms", 60_000), "decide_ms": 10_000}
+        r = rig(forward=forward, **changes)
         port = r.ingress.forward_listener.server_port
 
         def send(data: bytes):
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -284,7 +284,7 @@
 
 def test_network_rules_apply_to_both_fronts(rig) -> None:
     r = rig(
-        forward={"trusted": ["127.0.0.0/8"], "lapse_ms": 60_000},
+        forward={"trusted": ["127.0.0.0/8"], "lapse_ms": 60_000, "decide_ms": 10_000},
         networks=[{"network": "203.0.113.0/24", "zone": 4}, {"network": "198.51.100.0/24", "refuse": True}],
     )
     sock = socket.create_connection(("127.0.0.1", r.ingress.forward_listener.server_port), timeout=10)
